--- a/pollenwalk/commands/status.py
+++ b/pollenwalk/commands/status.py
@@ -71,7 +71,7 @@
     finally:
         await peer.close()
         await tasks.cancel()
-    return connection.boot == incarnation
+    return connection.boot_id == incarnation
 
 
 def run_drain(options: argparse.Namespace) -> int:
--- a/pollenwalk/connection/peer.py
+++ b/pollenwalk/connection/peer.py
@@ -132,14 +132,14 @@
         self.writer = FrameWriter(channel, clock, 0)
         self.exchanges = Exchanges()
         self.lost = False
-        self.boot = ''
+        self.boot_id = ''
 
     async def greet(self, hello: Hello) -> None:
         """Say who we are and learn the peer's boot id."""
         self.tasks.spawn(self.write(), 'connection_write')
         self.tasks.spawn(self.read(), 'connection_read')
         welcome = await self.ask(hello)
-        self.boot = welcome.boot
+        self.boot_id = welcome.boot_id
 
     async def write(self) -> None:
         """Run the writer until the channel ends."""
@@ -326,13 +326,13 @@
         self,
         clock: Clock,
         handler: Handler,
-        boot: str,
+        boot_id: str,
         window_ms: float = COALESCE_MS,
     ) -> None:
-        """Serve `handler`; `boot` names this start of the process."""
+        """Serve `handler`; `boot_id` names this start of the process."""
         self.clock = clock
         self.handler = handler
-        self.boot = boot
+        self.boot_id = boot_id
         self.window_ms = window_ms
         self.channels: dict[Channel, None] = {}
 
@@ -389,7 +389,7 @@
             )
             self.reply(writer, frame, RefusalBody.of(refusal))
             return hello._replace(incarnation='')
-        self.reply(writer, frame, Welcome(PROTOCOL_VERSION, self.boot))
+        self.reply(writer, frame, Welcome(PROTOCOL_VERSION, self.boot_id))
         writer.put(Frame(frame.exchange, END_KIND, None))
         return hello
 
--- a/pollenwalk/connection/wire.py
+++ b/pollenwalk/connection/wire.py
@@ -47,10 +47,10 @@
 
 
 class Welcome(NamedTuple):
-    """The answer to `Hello`; `boot` names this start of the peer."""
+    """The answer to `Hello`; `boot_id` names this start of the peer."""
 
     protocol: int
-    boot: str
+    boot_id: str
 
 
 class HistoryItem(NamedTuple):
@@ -70,7 +70,7 @@
 
     call: str
     program: str
-    boot: str
+    boot_id: str
     operation: str
     idempotent: bool
     argument: dict[str, Any]
@@ -115,7 +115,7 @@
     """Ask what became of a call; `fence` names a sealed incarnation."""
 
     call: str
-    boot: str
+    boot_id: str
     fence: str
 
 
@@ -129,7 +129,7 @@
     """Attach to a call that the sidecar runs or has finished."""
 
     call: str
-    boot: str
+    boot_id: str
     offset: int
 
 
@@ -260,7 +260,7 @@
     """A sidecar's load, by datagram."""
 
     sidecar: str
-    boot: str
+    boot_id: str
     upstream: str
     address: str
     zone: str
--- a/pollenwalk/process/fleet.py
+++ b/pollenwalk/process/fleet.py
@@ -39,7 +39,7 @@
 
     def take(self, report: Report, heard_ms: float) -> None:
         """Replace the report unless it is older than the present one."""
-        same_boot = report.boot == self.report.boot
+        same_boot = report.boot_id == self.report.boot_id
         if same_boot and report.number < self.report.number:
             return
         left = self.report.leaving and same_boot
--- a/pollenwalk/process/neighbours.py
+++ b/pollenwalk/process/neighbours.py
@@ -81,9 +81,9 @@
         if record.address == self.entry.settings.address:
             return False
         for _ in range(PROBES):
-            boot = await self.probe(record.address)
-            if boot:
-                return boot == record.incarnation
+            boot_id = await self.probe(record.address)
+            if boot_id:
+                return boot_id == record.incarnation
         return False
 
     async def probe(self, address: str) -> str:
@@ -94,7 +94,7 @@
         peer = self.entry.peers.at(address)
         try:
             await peer.ask(Beat(self.entry.incarnation, 0), PROBE_MS)
-            return (await peer.connected()).boot
+            return (await peer.connected()).boot_id
         except PollenwalkError:
             return ''
 
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -57,7 +57,7 @@
         resolver = Resolver(
             self.parts.peers(intent.address),
             self.parts.clock,
-            intent.boot,
+            intent.boot_id,
         )
         until_ms = self.parts.clock.now_ms() + RECOVERY_MS
         try:
--- a/pollenwalk/process/sidecar.py
+++ b/pollenwalk/process/sidecar.py
@@ -73,13 +73,13 @@
         self.network = network
         self.clock = clock
         self.tasks = TaskSet()
-        self.boot = f'{dice.getrandbits(ID_BITS):016x}'
+        self.boot_id = f'{dice.getrandbits(ID_BITS):016x}'
         self.work = UpstreamCalls(upstream, clock, self.tasks, tracer)
         self.service = SidecarService(self)
         self.server = PeerServer(
             clock,
             self.service.handle,
-            self.boot,
+            self.boot_id,
             settings.coalesce_ms,
         )
         self.spec_version = 0
@@ -157,7 +157,7 @@
         settings = self.settings
         report = Report(
             settings.sidecar,
-            self.boot,
+            self.boot_id,
             settings.upstream,
             settings.address,
             settings.zone,
--- a/pollenwalk/process/sidecar_service.py
+++ b/pollenwalk/process/sidecar_service.py
@@ -29,12 +29,12 @@
     """A sidecar, as the answers to its peers see it.
 
     Attributes:
-        boot: of this start.
+        boot_id: of this start.
         leaving: whether it takes no new calls.
         work: its calls.
     """
 
-    boot: str
+    boot_id: str
     leaving: bool
     work: UpstreamCalls
 
@@ -63,7 +63,7 @@
     async def take(self, hello: Hello, message: Dispatch) -> AsyncIterator[Any]:
         """Take a call over, or attach to the one already here."""
         self.sessions.check(hello.incarnation, hello.epoch)
-        self.check_boot(message.boot, Outcome.NOT_RUN)
+        self.check_boot_id(message.boot_id, Outcome.NOT_RUN)
         call = self.work.calls.calls.get(message.call)
         if call is None or (call.failed and message.idempotent):
             self.check_open()
@@ -82,9 +82,9 @@
         ahead = self.work.admission.running + len(self.work.admission.waiting)
         return item._replace(ahead=ahead)
 
-    def check_boot(self, boot: str, outcome: Outcome) -> None:
+    def check_boot_id(self, boot_id: str, outcome: Outcome) -> None:
         """Refuse what was meant for an earlier start of this sidecar."""
-        if boot != self.sidecar.boot:
+        if boot_id != self.sidecar.boot_id:
             raise Refusal(
                 RefusalCode.STALE_SESSION,
                 'this sidecar has restarted',
@@ -108,13 +108,13 @@
 
     async def follow(self, hello: Hello, message: Follow) -> AsyncIterator[Any]:
         """Attach to a call."""
-        self.check_boot(message.boot, Outcome.UNKNOWN)
+        self.check_boot_id(message.boot_id, Outcome.UNKNOWN)
         async for item in self.work.calls.find(message.call).follow(message.offset):
             yield item
 
     async def resolve(self, hello: Hello, message: Resolve) -> AsyncIterator[Any]:
         """Tell what became of a call, and see to it that this stays so."""
-        self.check_boot(message.boot, Outcome.UNKNOWN)
+        self.check_boot_id(message.boot_id, Outcome.UNKNOWN)
         if message.fence:
             self.sessions.seal(message.fence)
         call = self.work.calls.calls.get(message.call)
--- a/pollenwalk/process/witness.py
+++ b/pollenwalk/process/witness.py
@@ -94,7 +94,7 @@
         """
         try:
             connection = await self.peer.connected()
-            if connection.boot != self.ref.incarnation:
+            if connection.boot_id != self.ref.incarnation:
                 self.failed = True
                 return False
             await self.peer.ask(message, APPEND_TIMEOUT_MS)
@@ -122,7 +122,7 @@
     """
     try:
         connection = await peer.connected()
-        if connection.boot != ref.incarnation:
+        if connection.boot_id != ref.incarnation:
             return None
         return await peer.ask(message, APPEND_TIMEOUT_MS)
     except (ConnectionLost, Refusal):
--- a/pollenwalk/program/records.py
+++ b/pollenwalk/program/records.py
@@ -49,7 +49,7 @@
 class Intended(NamedTuple):
     """A non-idempotent call is about to be handed to a sidecar.
 
-    `incarnation` is the home that hands it over, `boot` the sidecar's start.
+    `incarnation` is the home that hands it over, `boot_id` the sidecar's start.
     """
 
     program: str
@@ -60,7 +60,7 @@
     operation: str
     argument: dict[str, Any]
     address: str
-    boot: str
+    boot_id: str
     incarnation: str
 
 
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -105,7 +105,7 @@
         if connection is None:
             connection = await self.parts.peers(host.address).connected()
         with self.parts.tracer.span('dispatch', self.request.trace) as trace:
-            message = self.build(host, connection.boot, max_tokens, trace)
+            message = self.build(host, connection.boot_id, max_tokens, trace)
             self.call.running = True
             self.parts.fleet.sent(host.sidecar, self.call.id)
             try:
@@ -119,7 +119,7 @@
     def build(
         self,
         host: HostView,
-        boot: str,
+        boot_id: str,
         max_tokens: int,
         trace: str,
     ) -> Dispatch:
@@ -133,7 +133,7 @@
         return Dispatch(
             self.call.id,
             self.program.id,
-            boot,
+            boot_id,
             self.request.operation,
             self.request.operation not in self.spec.non_idempotent,
             self.request.argument,
--- a/pollenwalk/request/dispatch.py
+++ b/pollenwalk/request/dispatch.py
@@ -66,9 +66,9 @@
     return last
 
 
-async def follow(connection: Connection, call: LiveCall, boot: str) -> Answer:
+async def follow(connection: Connection, call: LiveCall, boot_id: str) -> Answer:
     """Attach to a call that a sidecar has."""
-    message = Follow(call.id, boot, len(call.stream.texts))
+    message = Follow(call.id, boot_id, len(call.stream.texts))
     answer = await collect(connection.stream(message), call)
     if not isinstance(answer, Answer):
         raise ConnectionLost('the sidecar ended without an answer')
@@ -78,11 +78,11 @@
 class Resolver:
     """Finds out what became of a dispatched call."""
 
-    def __init__(self, peer: Peer, clock: Clock, boot: str) -> None:
-        """Ask the sidecar behind `peer`, as started under `boot`."""
+    def __init__(self, peer: Peer, clock: Clock, boot_id: str) -> None:
+        """Ask the sidecar behind `peer`, as started under `boot_id`."""
         self.peer = peer
         self.clock = clock
-        self.boot = boot
+        self.boot_id = boot_id
 
     async def resolve(
         self, call: LiveCall, fence: str, until_ms: float
@@ -115,14 +115,14 @@
     async def ask(self, call: LiveCall, fence: str) -> Answer | None:
         """Ask once; raises `ConnectionLost` when there is no answer."""
         connection = await self.peer.connected()
-        if connection.boot != self.boot:
+        if connection.boot_id != self.boot_id:
             raise Refusal(
                 RefusalCode.OUTCOME_UNKNOWN,
                 'the upstream host restarted while the call was with it',
                 Outcome.UNKNOWN,
             )
-        question = Resolve(call.id, self.boot, fence)
+        question = Resolve(call.id, self.boot_id, fence)
         resolution = await self.peer.ask(question, RESOLVE_TIMEOUT_MS)
         if resolution.state == NOT_RUN_STATE:
             return None
-        return await follow(connection, call, self.boot)
+        return await follow(connection, call, self.boot_id)
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -184,7 +184,7 @@
         resolver = Resolver(
             self.parts.peers(host.address),
             self.parts.clock,
-            connection.boot,
+            connection.boot_id,
         )
         until_ms = self.call.deadline_ms + RESOLVE_GRACE_MS
         try:
@@ -232,7 +232,7 @@
             self.request.operation,
             self.request.argument,
             host.address,
-            connection.boot,
+            connection.boot_id,
             self.parts.incarnation,
         )
 
--- a/standin/model.py
+++ b/standin/model.py
@@ -22,7 +22,7 @@
     seals_witness: bool = True
     fences_sidecar: bool = True
     waits_for_commit: bool = True
-    names_boot: bool = True
+    names_boot_id: bool = True
 
 
 class Witness(NamedTuple):
@@ -46,7 +46,7 @@
         dispatched: whether its dispatch has been sent.
         in_flight: whether that dispatch may still arrive.
         fenced: whether the sidecar refuses the home.
-        boot: the sidecar's start.
+        boot_id: the sidecar's start.
         runs: how often the call has run.
         phase: how far the successor is.
         knows: whether the successor knows of the intent.
@@ -64,7 +64,7 @@
     dispatched: bool = False
     in_flight: bool = False
     fenced: bool = False
-    boot: int = 1
+    boot_id: int = 1
     runs: int = 0
     phase: str = 'idle'
     knows: bool = False
@@ -112,7 +112,7 @@
     for place in range(2):
         yield from witness_steps(state, place)
     if state.in_flight:
-        stale = variant.names_boot and state.boot != 1
+        stale = variant.names_boot_id and state.boot_id != 1
         runs = state.runs if state.fenced or stale else state.runs + 1
         yield 'dispatch arrives', state._replace(in_flight=False, runs=runs)
 
@@ -142,8 +142,8 @@
 
 def sidecar_steps(state: State) -> Iterator[Step]:
     """Give what may happen to the sidecar."""
-    if state.boot == 1:
-        yield 'sidecar restarts', state._replace(boot=2, fenced=False)
+    if state.boot_id == 1:
+        yield 'sidecar restarts', state._replace(boot_id=2, fenced=False)
 
 
 def successor_steps(state: State, variant: Variant) -> Iterator[Step]:
@@ -192,7 +192,7 @@
         # The caller repeats its call, which is new to the successor.
         yield 'successor runs', state._replace(phase='end', runs=state.runs + 1)
         return
-    if state.boot != 1:
+    if state.boot_id != 1:
         yield 'successor says unknown', state._replace(phase='end', unknown=True)
         return
     fenced = state.fenced or variant.fences_sidecar
--- a/test/test_model.py
+++ b/test/test_model.py
@@ -9,7 +9,7 @@
     Variant(seals_witness=False),
     Variant(fences_sidecar=False),
     Variant(waits_for_commit=False),
-    Variant(names_boot=False),
+    Variant(names_boot_id=False),
 )
 
 
