--- a/pollenwalk/commands/resources.py
+++ b/pollenwalk/commands/resources.py
@@ -12,7 +12,7 @@
 from pollenwalk.commands.options import add_store, open_store, split_name
 from pollenwalk.errors import UserError
 from pollenwalk.process.clock import LoopClock
-from pollenwalk.process.operator import Operator
+from pollenwalk.process.resource_client import ResourceClient
 from pollenwalk.process.settings import ROLES, default_text, read_settings
 from pollenwalk.version.fields import InvalidFile, read_text
 from pollenwalk.version.resources import (
@@ -134,11 +134,11 @@
 async def apply_all(options: argparse.Namespace, declared: list[Declared]) -> int:
     """Write all resources, programs last since they refer to upstreams."""
     store = open_store(options)
-    operator = Operator(store, LoopClock())
+    client = ResourceClient(store, LoopClock())
     refused = 0
     try:
         for one in sorted(declared, key=is_program):
-            if not await apply_one(operator, one, options.version):
+            if not await apply_one(client, one, options.version):
                 refused += 1
     finally:
         await store.close()
@@ -150,19 +150,19 @@
     return declared.resource.id.kind == Kind.PROGRAM
 
 
-async def apply_one(operator: Operator, one: Declared, version: int | None) -> bool:
+async def apply_one(client: ResourceClient, one: Declared, version: int | None) -> bool:
     """Write one resource; tell whether it was accepted."""
     resource_id = one.resource.id
     name = f'{resource_id.kind}/{resource_id.name}'
-    written = await operator.apply(resource_id, one.keys, version)
-    verdict = await operator.verdict(resource_id, written)
-    if verdict is None:
+    written = await client.apply(resource_id, one.keys, version)
+    status = await client.wait_for_status(resource_id, written)
+    if status is None:
         sys.stdout.write(f'{name}: written, no verdict yet\n')
         return False
-    if verdict.reason:
-        sys.stdout.write(f'{name}: refused: {verdict.reason}\n')
+    if status.reason:
+        sys.stdout.write(f'{name}: refused: {status.reason}\n')
         return False
-    sys.stdout.write(f'{name}: accepted at version {verdict.version}\n')
+    sys.stdout.write(f'{name}: accepted at version {status.version}\n')
     return True
 
 
@@ -175,7 +175,7 @@
     """Show the named resources, or all."""
     store = open_store(options)
     try:
-        shown = await Operator(store, LoopClock()).show()
+        shown = await ResourceClient(store, LoopClock()).list_resources()
     finally:
         await store.close()
     found = [one for one in shown if not options.names or one.name in options.names]
@@ -198,15 +198,15 @@
 async def delete(options: argparse.Namespace, resource_id: ResourceId) -> int:
     """Write the wish to delete and wait for its verdict."""
     store = open_store(options)
-    operator = Operator(store, LoopClock())
+    client = ResourceClient(store, LoopClock())
     try:
-        written = await operator.apply(resource_id, None)
-        verdict = await operator.verdict(resource_id, written)
+        written = await client.apply(resource_id, None)
+        status = await client.wait_for_status(resource_id, written)
     finally:
         await store.close()
-    state = 'deleted' if verdict else 'written, no verdict yet'
+    state = 'deleted' if status else 'written, no verdict yet'
     sys.stdout.write(f'{resource_id.kind}/{resource_id.name}: {state}\n')
-    return 0 if verdict else EXIT_REFUSED
+    return 0 if status else EXIT_REFUSED
 
 
 def run_watch(options: argparse.Namespace) -> int:
@@ -219,8 +219,8 @@
     """Show each verdict."""
     store = open_store(options)
     try:
-        async for verdict in Operator(store, LoopClock()).watch():
-            sys.stdout.write(f'{json.dumps(verdict._asdict())}\n')
+        async for status in ResourceClient(store, LoopClock()).watch():
+            sys.stdout.write(f'{json.dumps(status._asdict())}\n')
             sys.stdout.flush()
     finally:
         await store.close()
--- a/pollenwalk/process/acceptance.py
+++ b/pollenwalk/process/acceptance.py
@@ -28,12 +28,12 @@
     parse_section,
 )
 
-WISHES = 'resources/'
-VERDICTS = 'accepted/'
-JUDGE_MS = 250
+DESIRED_PREFIX = 'resources/'
+STATUS_PREFIX = 'accepted/'
+EVALUATION_INTERVAL_MS = 250
 
 
-class Wish(NamedTuple):
+class DesiredResource(NamedTuple):
     """A resource as an operator wrote it; no keys means delete it."""
 
     kind: str
@@ -41,7 +41,7 @@
     keys: dict[str, str] | None
 
 
-class Verdict(NamedTuple):
+class AcceptanceStatus(NamedTuple):
     """What became of a wish.
 
     Attributes:
@@ -61,7 +61,7 @@
     reason: str
 
 
-class Judged(NamedTuple):
+class KnownStatus(NamedTuple):
     """What is remembered of a verdict.
 
     Attributes:
@@ -73,21 +73,21 @@
     observed: int
 
 
-WISH_DECODER = msgspec.json.Decoder(Wish)
-VERDICT_DECODER = msgspec.json.Decoder(Verdict)
+DESIRED_DECODER = msgspec.json.Decoder(DesiredResource)
+STATUS_DECODER = msgspec.json.Decoder(AcceptanceStatus)
 
 
-def wish_key(resource_id: ResourceId) -> str:
+def desired_key(resource_id: ResourceId) -> str:
     """Name the object of a wish."""
-    return f'{WISHES}{resource_id.kind}/{resource_id.name}'
+    return f'{DESIRED_PREFIX}{resource_id.kind}/{resource_id.name}'
 
 
-def verdict_key(resource_id: ResourceId) -> str:
+def status_key(resource_id: ResourceId) -> str:
     """Name the object of a verdict."""
-    return f'{VERDICTS}{resource_id.kind}/{resource_id.name}'
+    return f'{STATUS_PREFIX}{resource_id.kind}/{resource_id.name}'
 
 
-class Acceptance:
+class AcceptanceController:
     """Follows wishes and verdicts for one entry."""
 
     def __init__(
@@ -100,112 +100,114 @@
         self.store = store
         self.clock = clock
         self.config = config
-        self.verdicts: dict[str, Judged] = {}
-        self.wishes: dict[str, int] = {}
+        self.statuses: dict[str, KnownStatus] = {}
+        self.desired_versions: dict[str, int] = {}
         self.pending: dict[str, StoredObject] = {}
         self.synced = False
 
-    async def follow_verdicts(self) -> None:
+    async def follow_statuses(self) -> None:
         """Keep the configuration current for as long as the process lives."""
         await follow(
             self.store,
             self.clock,
-            VERDICTS,
-            self.take_verdict,
-            self.note_synced,
+            STATUS_PREFIX,
+            self.apply_status,
+            self.mark_synced,
         )
 
-    def note_synced(self) -> None:
+    def mark_synced(self) -> None:
         """Note that the verdicts have been read."""
         self.synced = True
 
-    def take_verdict(self, stored: StoredObject) -> None:
+    def apply_status(self, stored: StoredObject) -> None:
         """Put a verdict in force unless a newer one is."""
-        known = self.verdicts.get(stored.key)
+        known = self.statuses.get(stored.key)
         if not stored.body or (known and known.version >= stored.version):
             return
-        verdict = VERDICT_DECODER.decode(stored.body)
-        self.verdicts[stored.key] = Judged(stored.version, verdict.observed)
-        wish = self.pending.get(stored.key.replace(VERDICTS, WISHES, 1))
-        if wish is not None and self.observed(wish):
-            self.pending.pop(wish.key)
-        if verdict.version:
+        status = STATUS_DECODER.decode(stored.body)
+        self.statuses[stored.key] = KnownStatus(stored.version, status.observed)
+        desired = self.pending.get(stored.key.replace(STATUS_PREFIX, DESIRED_PREFIX, 1))
+        if desired is not None and self.is_evaluated(desired):
+            self.pending.pop(desired.key)
+        if status.version:
             self.config.accept(
                 Accepted(
-                    verdict.kind,
-                    verdict.name,
-                    verdict.version,
-                    verdict.spec,
+                    status.kind,
+                    status.name,
+                    status.version,
+                    status.spec,
                 ),
             )
 
-    async def follow_wishes(self) -> None:
+    async def follow_desired_resources(self) -> None:
         """Follow what operators write for as long as the process lives."""
-        await follow(self.store, self.clock, WISHES, self.take_wish)
+        await follow(self.store, self.clock, DESIRED_PREFIX, self.record_desired)
 
-    async def judge_wishes(self, is_ours: Callable[[], bool]) -> None:
+    async def evaluate_desired_resources(
+        self, is_responsible: Callable[[], bool]
+    ) -> None:
         """Judge wishes while `is_ours()` says that this entry should."""
         while True:
             try:
-                if is_ours():
-                    await self.judge_all()
+                if is_responsible():
+                    await self.evaluate_pending()
             except StoreUnavailable as error:
                 logger.info('judging_put_off', reason=error.message)
-            await self.clock.sleep_ms(JUDGE_MS)
+            await self.clock.sleep_ms(EVALUATION_INTERVAL_MS)
 
-    def take_wish(self, stored: StoredObject) -> None:
+    def record_desired(self, stored: StoredObject) -> None:
         """Note a wish; only its version is kept once it has been judged."""
-        if self.wishes.get(stored.key, 0) >= stored.version:
+        if self.desired_versions.get(stored.key, 0) >= stored.version:
             return
-        self.wishes[stored.key] = stored.version
-        if not self.observed(stored):
+        self.desired_versions[stored.key] = stored.version
+        if not self.is_evaluated(stored):
             self.pending[stored.key] = stored
 
-    async def judge_all(self) -> None:
+    async def evaluate_pending(self) -> None:
         """Judge what no verdict has looked at; upstreams go first."""
         order = sorted(
             self.pending.values(),
             key=lambda stored: (Kind.PROGRAM in stored.key, stored.key),
         )
         for stored in order:
-            await self.judge(stored)
+            await self.evaluate(stored)
 
-    def observed(self, stored: StoredObject) -> bool:
+    def is_evaluated(self, stored: StoredObject) -> bool:
         """Tell whether a verdict has looked at this wish."""
-        key = stored.key.replace(WISHES, VERDICTS, 1)
-        judged = self.verdicts.get(key)
+        key = stored.key.replace(DESIRED_PREFIX, STATUS_PREFIX, 1)
+        judged = self.statuses.get(key)
         return judged is not None and judged.observed >= stored.version
 
-    async def judge(self, stored: StoredObject) -> None:
+    async def evaluate(self, stored: StoredObject) -> None:
         """Check one wish and write the verdict."""
-        key = stored.key.replace(WISHES, VERDICTS, 1)
+        key = stored.key.replace(DESIRED_PREFIX, STATUS_PREFIX, 1)
         present = await self.store.get(key)
         if present is not None:
-            self.take_verdict(present)
-            if self.observed(stored):
+            self.apply_status(present)
+            if self.is_evaluated(stored):
                 return
-        verdict = self.verdict_on(stored, present)
-        body = msgspec.json.encode(verdict)
+        status = self.build_status(stored, present)
+        body = msgspec.json.encode(status)
         version = present.version if present else ABSENT
         try:
             written = await self.store.put(key, body, version)
         except StoreConflict:
             # Another entry was faster; its verdict comes with the watch.
             return
-        self.take_verdict(StoredObject(key, body, written))
-        logger.info('resource_judged', key=key, reason=verdict.reason)
+        self.apply_status(StoredObject(key, body, written))
+        logger.info('resource_judged', key=key, reason=status.reason)
 
-    def verdict_on(
+    def build_status(
         self,
         stored: StoredObject,
         present: StoredObject | None,
-    ) -> Verdict:
+    ) -> AcceptanceStatus:
         """Decide on a wish; a refused one leaves in force what is."""
-        kind, name = stored.key.removeprefix(WISHES).split('/', 1)
-        before = Verdict(kind, name, 0, 0, None, '')
+        kind, name = stored.key.removeprefix(DESIRED_PREFIX).split('/', 1)
+        before = AcceptanceStatus(kind, name, 0, 0, None, '')
         if present is not None:
-            before = VERDICT_DECODER.decode(present.body)
-        spec, reason = self.check(stored)
+            before = STATUS_DECODER.decode(present.body)
+        spec, reason = self.validate(stored)
         if reason:
             return before._replace(observed=stored.version, reason=reason)
         return before._replace(
@@ -215,7 +217,7 @@
             reason='',
         )
 
-    def check(self, stored: StoredObject) -> tuple[dict[str, Any] | None, str]:
+    def validate(self, stored: StoredObject) -> tuple[dict[str, Any] | None, str]:
         """Give a wish's spec, or the reason why it is refused.
 
         A wish to delete has neither.
@@ -223,13 +225,13 @@
         if not stored.body:
             return None, ''
         try:
-            wish = WISH_DECODER.decode(stored.body)
+            desired = DESIRED_DECODER.decode(stored.body)
         except msgspec.DecodeError as error:
             return None, f'not a resource: {error}'
-        if wish.keys is None:
+        if desired.keys is None:
             return None, ''
-        section = f'{wish.kind} {wish.name}'
-        problems, resource = parse_section(section, wish.keys, stored.key)
+        section = f'{desired.kind} {desired.name}'
+        problems, resource = parse_section(section, desired.keys, stored.key)
         if resource is None:
             return None, InvalidFile(problems).message
         missing = dangling(resource, self.config)
@@ -238,6 +240,8 @@
         return spec_to_json(resource.spec), ''
 
 
-def encode_wish(resource_id: ResourceId, keys: dict[str, str] | None) -> bytes:
+def encode_desired(resource_id: ResourceId, keys: dict[str, str] | None) -> bytes:
     """Pack an operator's wish."""
-    return msgspec.json.encode(Wish(resource_id.kind, resource_id.name, keys))
+    return msgspec.json.encode(
+        DesiredResource(resource_id.kind, resource_id.name, keys)
+    )
--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -19,7 +19,7 @@
     StoreUnavailable,
 )
 from pollenwalk.policy.placement import ExpectedFinish, Placement
-from pollenwalk.process.acceptance import Acceptance
+from pollenwalk.process.acceptance import AcceptanceController
 from pollenwalk.process.adoption import Adoption
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.compaction import Compaction
@@ -107,7 +107,7 @@
         self.placement = placement or ExpectedFinish()
         self.tasks = TaskSet()
         self.config = Configuration()
-        self.acceptance = Acceptance(store, clock, self.config)
+        self.acceptance = AcceptanceController(store, clock, self.config)
         self.fleet = Fleet(clock, settings.regions)
         self.config.on_accept = self.accepted
         self.peers = Peers(network, clock, self.tasks)
@@ -207,9 +207,11 @@
             await self.network.bind(address, self.datagram),
         ]
         self.tasks.spawn(self.directory.follow(), 'directory')
-        self.tasks.spawn(self.acceptance.follow_verdicts(), 'verdicts')
-        self.tasks.spawn(self.acceptance.follow_wishes(), 'wishes')
-        self.tasks.spawn(self.acceptance.judge_wishes(self.judges), 'judge')
+        self.tasks.spawn(self.acceptance.follow_statuses(), 'verdicts')
+        self.tasks.spawn(self.acceptance.follow_desired_resources(), 'wishes')
+        self.tasks.spawn(
+            self.acceptance.evaluate_desired_resources(self.judges), 'judge'
+        )
         self.tasks.spawn(self.neighbours.watch_entries(), 'liveness')
         self.tasks.spawn(self.register(), 'register')
         if self.hosts is not None:
--- a/pollenwalk/process/operator.py
+++ b/pollenwalk/process/resource_client.py
@@ -11,22 +11,22 @@
 
 from pollenwalk.errors import PollenwalkError, StoreConflict, StoreUnavailable
 from pollenwalk.process.acceptance import (
-    VERDICT_DECODER,
-    VERDICTS,
-    WISH_DECODER,
-    WISHES,
-    Verdict,
-    encode_wish,
-    verdict_key,
-    wish_key,
+    DESIRED_DECODER,
+    DESIRED_PREFIX,
+    STATUS_DECODER,
+    STATUS_PREFIX,
+    AcceptanceStatus,
+    desired_key,
+    encode_desired,
+    status_key,
 )
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.store import ABSENT, Backoff, ObjectStore
 from pollenwalk.version.resources import ResourceId
 
-VERDICT_WAIT_MS = 10_000
-VERDICT_CHECK_MS = 200
-WRITE_PATIENCE_MS = 10_000
+STATUS_TIMEOUT_MS = 10_000
+STATUS_POLL_MS = 200
+WRITE_TIMEOUT_MS = 10_000
 
 
 class UpdateConflict(PollenwalkError):
@@ -35,7 +35,7 @@
     code = 'conflict'
 
 
-class Shown(NamedTuple):
+class ResourceView(NamedTuple):
     """A resource as operators see it.
 
     Attributes:
@@ -55,7 +55,7 @@
     judged: bool
 
 
-class Operator:
+class ResourceClient:
     """Writes and reads resources through the platform's object API."""
 
     def __init__(self, store: ObjectStore, clock: Clock) -> None:
@@ -84,10 +84,10 @@
             UpdateConflict: the resource has another version.
             StoreUnavailable: the store did not answer for long.
         """
-        key = wish_key(resource_id)
-        body = encode_wish(resource_id, keys)
+        key = desired_key(resource_id)
+        body = encode_desired(resource_id, keys)
         backoff = Backoff(self.clock)
-        until_ms = self.clock.now_ms() + WRITE_PATIENCE_MS
+        until_ms = self.clock.now_ms() + WRITE_TIMEOUT_MS
         while True:
             try:
                 return await self.write(key, body, version)
@@ -109,68 +109,70 @@
         except StoreConflict as error:
             raise UpdateConflict(f'{key} was changed meanwhile') from error
 
-    async def verdict(self, resource_id: ResourceId, version: int) -> Verdict | None:
+    async def wait_for_status(
+        self, resource_id: ResourceId, version: int
+    ) -> AcceptanceStatus | None:
         """Wait for the verdict on a wish.
 
         Returns:
             The verdict, or None when none came in time.
         """
-        until_ms = self.clock.now_ms() + VERDICT_WAIT_MS
+        until_ms = self.clock.now_ms() + STATUS_TIMEOUT_MS
         while self.clock.now_ms() < until_ms:
-            stored = await self.store.get(verdict_key(resource_id))
+            stored = await self.store.get(status_key(resource_id))
             if stored is not None:
-                verdict = VERDICT_DECODER.decode(stored.body)
-                if verdict.observed >= version:
-                    return verdict
-            await self.clock.sleep_ms(VERDICT_CHECK_MS)
+                status = STATUS_DECODER.decode(stored.body)
+                if status.observed >= version:
+                    return status
+            await self.clock.sleep_ms(STATUS_POLL_MS)
         return None
 
-    async def show(self) -> list[Shown]:
+    async def list_resources(self) -> list[ResourceView]:
         """Read all resources with what is in force."""
-        wishes = await self.store.scan(WISHES)
-        verdicts = await self.store.scan(VERDICTS)
+        wishes = await self.store.scan(DESIRED_PREFIX)
+        statuses = await self.store.scan(STATUS_PREFIX)
         judged = {
-            stored.key.removeprefix(VERDICTS): VERDICT_DECODER.decode(stored.body)
-            for stored in verdicts.objects
+            stored.key.removeprefix(STATUS_PREFIX): STATUS_DECODER.decode(stored.body)
+            for stored in statuses.objects
         }
         return [
-            show_one(
-                stored.key.removeprefix(WISHES),
+            make_view(
+                stored.key.removeprefix(DESIRED_PREFIX),
                 stored.version,
                 stored.body,
-                judged.get(stored.key.removeprefix(WISHES)),
+                judged.get(stored.key.removeprefix(DESIRED_PREFIX)),
             )
             for stored in wishes.objects
         ]
 
-    async def watch(self) -> AsyncIterator[Verdict]:
+    async def watch(self) -> AsyncIterator[AcceptanceStatus]:
         """Give the present verdicts, then each new one."""
-        changes = await self.store.scan(VERDICTS)
+        changes = await self.store.scan(STATUS_PREFIX)
         while True:
             for stored in changes.objects:
                 if stored.body:
-                    yield VERDICT_DECODER.decode(stored.body)
-            changes = await self.store.watch(VERDICTS, changes.revision)
+                    yield STATUS_DECODER.decode(stored.body)
+            changes = await self.store.watch(STATUS_PREFIX, changes.revision)
 
 
-def show_one(
+def make_view(
     name: str,
     version: int,
     body: bytes,
-    verdict: Verdict | None,
-) -> Shown:
+    status: AcceptanceStatus | None,
+) -> ResourceView:
     """Put a wish and its verdict together."""
     try:
-        keys = WISH_DECODER.decode(body).keys
+        keys = DESIRED_DECODER.decode(body).keys
     except msgspec.DecodeError:
         keys = None
-    if verdict is None:
-        return Shown(name, version, keys, None, '', judged=False)
-    return Shown(
+    if status is None:
+        return ResourceView(name, version, keys, None, '', judged=False)
+    return ResourceView(
         name,
         version,
         keys,
-        verdict.spec,
-        verdict.reason,
-        verdict.observed >= version,
+        status.spec,
+        status.reason,
+        status.observed >= version,
     )
--- a/standin/experiments/slopes.py
+++ b/standin/experiments/slopes.py
@@ -15,7 +15,7 @@
 from pollenwalk.connection.addresses import split_address
 from pollenwalk.connection.store_http import HttpStore
 from pollenwalk.connection.wire import Beat, Report, encode_datagram
-from pollenwalk.process.acceptance import encode_wish, wish_key
+from pollenwalk.process.acceptance import desired_key, encode_desired
 from pollenwalk.version.resources import Kind, ResourceId
 from standin.experiments.measure import Line, as_json, cpu_share, fit, read_process
 from standin.processes import Processes
@@ -268,8 +268,8 @@
     for count in RESOURCES:
         for number in range(made, count):
             resource_id = ResourceId(Kind.BUDGET, f'organisation-{number}')
-            body = encode_wish(resource_id, {'concurrent_programs': '50'})
-            await store.put(wish_key(resource_id), body, None)
+            body = encode_desired(resource_id, {'concurrent_programs': '50'})
+            await store.put(desired_key(resource_id), body, None)
         made = count
         await wait_accepted(rig, store, count)
         points.append((float(count), await rig.memory()))
--- a/standin/scenario/runner.py
+++ b/standin/scenario/runner.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from pollenwalk.errors import ConnectionLost, Refusal
-from pollenwalk.process.operator import Operator
+from pollenwalk.process.resource_client import ResourceClient
 from pollenwalk.version.resources import Kind, ResourceId
 from standin.caller import SPARES, Caller, GaveUp, Step, Tally
 from standin.scenario.language import Line, Scenario
@@ -341,8 +341,8 @@
         """`apply KIND NAME KEY=VALUE …`, as an operator would."""
         keys = dict(pair.split('=', 1) for pair in pairs)
         resource_id = ResourceId(Kind(kind), name)
-        operator = Operator(self.world.store, self.clock)
-        await operator.apply(resource_id, keys)
+        client = ResourceClient(self.world.store, self.clock)
+        await client.apply(resource_id, keys)
 
     async def do_mark(self, name: str) -> None:
         """`mark WHO`: note how much work an upstream host has taken."""
--- a/standin/system.py
+++ b/standin/system.py
@@ -10,7 +10,7 @@
 from pollenwalk.connection.http_server import HttpServer, free_port
 from pollenwalk.connection.service_http import HttpService
 from pollenwalk.connection.store_http import HttpStore
-from pollenwalk.process.acceptance import encode_wish, wish_key
+from pollenwalk.process.acceptance import desired_key, encode_desired
 from pollenwalk.process.clock import LoopClock
 from pollenwalk.process.entry import Entry, EntrySettings
 from pollenwalk.process.metrics import EntryMetrics
@@ -116,8 +116,8 @@
     async def declare(self) -> None:
         """Write the resources as an operator would."""
         for resource in parse_resources(DECLARATIONS, 'declarations'):
-            body = encode_wish(resource.id, section_keys(resource.id))
-            await self.store.put(wish_key(resource.id), body, None)
+            body = encode_desired(resource.id, section_keys(resource.id))
+            await self.store.put(desired_key(resource.id), body, None)
 
     def place(self, zone: str) -> Place:
         """Give a zone's place."""
--- a/standin/virtual/world.py
+++ b/standin/virtual/world.py
@@ -13,7 +13,7 @@
     ViewProgram,
 )
 from pollenwalk.errors import ConnectionLost
-from pollenwalk.process.acceptance import encode_wish, wish_key
+from pollenwalk.process.acceptance import desired_key, encode_desired
 from pollenwalk.process.clock import MS_PER_SECOND
 from pollenwalk.process.entry import Entry, EntrySettings
 from pollenwalk.process.sidecar import Sidecar, SidecarSettings
@@ -101,8 +101,8 @@
             keys = section_keys(resource.id)
             if self.slots and keys.get('kind') == 'model':
                 keys['slots'] = str(self.slots)
-            body = encode_wish(resource.id, keys)
-            await self.store.put(wish_key(resource.id), body, None)
+            body = encode_desired(resource.id, keys)
+            await self.store.put(desired_key(resource.id), body, None)
         for number, zone in enumerate(self.shape.entries, start=1):
             self.zones[f'entry{number}'] = zone
             await self.start_entry(f'entry{number}')
