--- a/pollenwalk/connection/sidecar_api.py
+++ b/pollenwalk/connection/sidecar_api.py
@@ -43,16 +43,16 @@
 
     async def readyz(self, request: Request) -> Response:
         """Tell whether calls can be taken."""
-        ready = self.sidecar.work.spec is not None and not self.sidecar.leaving
+        ready = self.sidecar.executor.spec is not None and not self.sidecar.leaving
         status = HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE
         return JSONResponse({'ready': ready}, status_code=status)
 
     async def metrics(self, request: Request) -> Response:
         """Show the metrics in the Prometheus text format."""
-        grants = self.sidecar.work.grants
-        self.running.set({}, self.sidecar.work.admission.running)
-        self.waiting.set({}, len(self.sidecar.work.admission.waiting))
-        self.kept.set({}, len(self.sidecar.work.calls.calls))
-        self.leases.set({}, len(grants.until_ms) if grants else 0)
+        leases = self.sidecar.executor.leases
+        self.running.set({}, self.sidecar.executor.admission.running)
+        self.waiting.set({}, len(self.sidecar.executor.admission.waiting))
+        self.kept.set({}, len(self.sidecar.executor.calls.by_id))
+        self.leases.set({}, len(leases.expires_ms) if leases else 0)
         body, headers = render(self.registry, ['text/plain'])
         return Response(body, media_type=headers['Content-Type'])
--- a/pollenwalk/process/upstream_calls.py
+++ b/pollenwalk/process/call_executor.py
@@ -17,18 +17,18 @@
 )
 from pollenwalk.policy.admission import Admission
 from pollenwalk.process.clock import Clock
-from pollenwalk.process.grants import Grants
-from pollenwalk.process.sidecar_calls import SidecarCall, SidecarCalls
+from pollenwalk.process.memory_leases import MemoryLeases
+from pollenwalk.process.sidecar_calls import CallTable, SidecarCall
 from pollenwalk.process.sidecar_histories import SidecarHistories
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.process.traces import Tracer
 from pollenwalk.version.resources import UpstreamSpec
 
 RESUME_ATTEMPTS = 3
-RESUME_PAUSE_MS = 100
+RESUME_DELAY_MS = 100
 
 
-class UpstreamCalls:
+class CallExecutor:
     """The calls of one start of a sidecar, from the queue to their result."""
 
     def __init__(
@@ -43,20 +43,20 @@
         self.clock = clock
         self.tasks = tasks
         self.tracer = tracer
-        self.calls = SidecarCalls(clock)
+        self.calls = CallTable(clock)
         self.histories = SidecarHistories()
         self.admission = Admission(clock)
-        self.grants = Grants(upstream, clock) if is_engine(upstream) else None
+        self.leases = MemoryLeases(upstream, clock) if is_engine(upstream) else None
         self.spec: UpstreamSpec | None = None
 
-    def begin(self, message: Dispatch, history: list[HistoryItem]) -> SidecarCall:
+    def start_call(self, message: Dispatch, history: list[HistoryItem]) -> SidecarCall:
         """Start a call's task."""
         call = SidecarCall(message, history)
-        self.calls.calls[message.call] = call
-        call.task = self.tasks.spawn(self.run(call), 'sidecar_call')
+        self.calls.by_id[message.call] = call
+        call.task = self.tasks.spawn(self.run_call(call), 'sidecar_call')
         return call
 
-    async def run(self, call: SidecarCall) -> None:
+    async def run_call(self, call: SidecarCall) -> None:
         """Wait for a slot, run the call and keep its result."""
         message = call.message
         deadline_ms = self.clock.now_ms() + message.deadline_in_ms
@@ -67,40 +67,40 @@
                 self.clock.now_ms() - message.age_ms,
             )
         except Refusal as refusal:
-            self.refused(call, refusal)
+            self.record_refusal(call, refusal)
             return
         try:
-            await self.run_upstream(call, deadline_ms)
+            await self.run_with_timeout(call, deadline_ms)
         except Refusal as refusal:
-            self.refused(call, refusal)
+            self.record_refusal(call, refusal)
         finally:
             self.admission.leave()
             if not call.result.done():
-                call.fail(cut_short(), self.clock.now_ms())
+                call.fail(cancelled_refusal(), self.clock.now_ms())
 
-    def refused(self, call: SidecarCall, refusal: Refusal) -> None:
+    def record_refusal(self, call: SidecarCall, refusal: Refusal) -> None:
         """Keep a refusal; a call that did not run may be handed over again."""
         if refusal.outcome == Outcome.NOT_RUN:
-            self.calls.calls.pop(call.message.call, None)
+            self.calls.by_id.pop(call.message.call, None)
         call.fail(refusal, self.clock.now_ms())
 
-    async def run_upstream(self, call: SidecarCall, deadline_ms: float) -> None:
+    async def run_with_timeout(self, call: SidecarCall, deadline_ms: float) -> None:
         """Run a call at the upstream, in its time."""
         left_ms = deadline_ms - self.clock.now_ms()
         limit_ms = min(left_ms, float(self.spec.timeout_ms))
         with self.tracer.span('upstream', call.message.trace):
             try:
                 async with self.clock.timeout_ms(limit_ms):
-                    answer = await self.run_kind(call)
+                    answer = await self.invoke(call)
             except TimeoutError as error:
-                await self.abandon(call)
-                raise timed_out() from error
+                await self.cancel_at_engine(call)
+                raise deadline_refusal() from error
         call.finish(answer, self.clock.now_ms())
 
-    async def run_kind(self, call: SidecarCall) -> Answer:
+    async def invoke(self, call: SidecarCall) -> Answer:
         """Run a model call or a plain one."""
-        if self.grants is not None:
-            return await self.run_model(call)
+        if self.leases is not None:
+            return await self.run_chat(call)
         message = call.message
         output = await self.upstream.invoke(
             message.call,
@@ -109,18 +109,18 @@
         )
         return Answer(output)
 
-    async def run_model(self, call: SidecarCall) -> Answer:
+    async def run_chat(self, call: SidecarCall) -> Answer:
         """Run a model call and keep the history beside its engine."""
         message = call.message
-        self.grants.enter(message.program)
+        self.leases.begin_call(message.program)
         try:
-            answer = await self.generate(call)
+            answer = await self.stream_chat(call)
         finally:
-            self.grants.leave(message.program)
-        self.histories.extend(message, answer)
+            self.leases.end_call(message.program)
+        self.histories.append_turn(message, answer)
         return answer
 
-    async def generate(self, call: SidecarCall) -> Answer:
+    async def stream_chat(self, call: SidecarCall) -> Answer:
         """Stream from the engine, resuming when the stream is cut."""
         prompt = [
             *call.history,
@@ -136,12 +136,12 @@
         source = self.upstream.chat(request)
         for _ in range(RESUME_ATTEMPTS):
             try:
-                answer = await self.pump(source, call)
+                answer = await self.forward_stream(source, call)
             except ConnectionLost as error:
                 logger.info('engine_stream_cut', reason=error.message)
             else:
-                return whole_answer(call, answer)
-            await self.clock.sleep_ms(RESUME_PAUSE_MS)
+                return complete_answer(call, answer)
+            await self.clock.sleep_ms(RESUME_DELAY_MS)
             source = self.upstream.resume(request.call, len(call.stream.texts))
         raise Refusal(
             RefusalCode.UPSTREAM_FAILED,
@@ -149,7 +149,9 @@
             Outcome.UNKNOWN,
         )
 
-    async def pump(self, source: AsyncIterator[Any], call: SidecarCall) -> Answer:
+    async def forward_stream(
+        self, source: AsyncIterator[Any], call: SidecarCall
+    ) -> Answer:
         """Pass an engine's stream on to the followers."""
         async for item in source:
             if isinstance(item, Tokens):
@@ -158,9 +160,9 @@
                 return item
         raise ConnectionLost('the engine ended its stream without an answer')
 
-    async def abandon(self, call: SidecarCall) -> None:
+    async def cancel_at_engine(self, call: SidecarCall) -> None:
         """Stop the engine's work on a call that nobody waits for."""
-        if self.grants is None:
+        if self.leases is None:
             return
         try:
             await self.upstream.cancel(call.message.call)
@@ -169,7 +171,7 @@
 
     async def cancel_program(self, program: str) -> None:
         """Stop the calls of a program that may be stopped."""
-        for call in list(self.calls.calls.values()):
+        for call in list(self.calls.by_id.values()):
             message = call.message
             if message.program == program and message.idempotent:
                 await self.stop_call(call)
@@ -178,10 +180,10 @@
         """Stop a call that may be repeated."""
         if call.ended_ms or call.task is None:
             return
-        await self.abandon(call)
+        await self.cancel_at_engine(call)
         call.task.cancel()
         await asyncio.gather(call.task, return_exceptions=True)
-        self.calls.calls.pop(call.message.call, None)
+        self.calls.by_id.pop(call.message.call, None)
 
 
 def is_engine(upstream: Engine | Service) -> bool:
@@ -189,13 +191,13 @@
     return hasattr(upstream, 'chat')
 
 
-def whole_answer(call: SidecarCall, answer: Answer) -> Answer:
+def complete_answer(call: SidecarCall, answer: Answer) -> Answer:
     """Put together what came before and after a cut."""
     texts = call.stream.texts
     return answer._replace(output={'text': ''.join(texts)}, tokens=len(texts))
 
 
-def timed_out() -> Refusal:
+def deadline_refusal() -> Refusal:
     """Refuse a call that took too long at the upstream."""
     return Refusal(
         RefusalCode.DEADLINE,
@@ -204,7 +206,7 @@
     )
 
 
-def cut_short() -> Refusal:
+def cancelled_refusal() -> Refusal:
     """Describe a call whose task was ended."""
     return Refusal(
         RefusalCode.CANCELLED,
--- a/pollenwalk/process/grants.py
+++ b/pollenwalk/process/memory_leases.py
@@ -11,37 +11,37 @@
 from pollenwalk.process.clock import Clock
 
 LEASE_MS = 20_000
-CHECK_MS = 2_000
+CHECK_INTERVAL_MS = 2_000
 
 
-class Grants:
+class MemoryLeases:
     """Which programs may hold memory of one engine."""
 
     def __init__(self, engine: Engine, clock: Clock) -> None:
         """Start with no lease."""
         self.engine = engine
         self.clock = clock
-        self.until_ms: dict[str, float] = {}
-        self.busy: dict[str, int] = {}
+        self.expires_ms: dict[str, float] = {}
+        self.running_calls: dict[str, int] = {}
 
     def renew(self, program: str) -> None:
         """Grant or renew a program's lease."""
-        self.until_ms[program] = self.clock.now_ms() + LEASE_MS
+        self.expires_ms[program] = self.clock.now_ms() + LEASE_MS
 
-    def end(self, program: str) -> None:
+    def expire(self, program: str) -> None:
         """Let a program's lease lapse now."""
-        self.until_ms[program] = self.clock.now_ms()
+        self.expires_ms[program] = self.clock.now_ms()
 
-    def enter(self, program: str) -> None:
+    def begin_call(self, program: str) -> None:
         """Keep a program's memory while a call of it runs."""
-        self.busy[program] = self.busy.get(program, 0) + 1
+        self.running_calls[program] = self.running_calls.get(program, 0) + 1
         self.renew(program)
 
-    def leave(self, program: str) -> None:
+    def end_call(self, program: str) -> None:
         """Note that a call of a program has ended."""
-        self.busy[program] -= 1
-        if not self.busy[program]:
-            self.busy.pop(program)
+        self.running_calls[program] -= 1
+        if not self.running_calls[program]:
+            self.running_calls.pop(program)
 
     async def release(self, program: str) -> None:
         """Return a program's memory now.
@@ -50,26 +50,26 @@
             ConnectionLost: the engine did not answer; the lapsed lease makes
                 sure that it is asked again.
         """
-        self.end(program)
-        if program in self.busy:
+        self.expire(program)
+        if program in self.running_calls:
             return
         await self.engine.release(program)
-        self.until_ms.pop(program, None)
+        self.expires_ms.pop(program, None)
 
-    async def watch(self) -> None:
+    async def reclaim_periodically(self) -> None:
         """Return what is held without a lease, as long as the process lives."""
         while True:
             try:
-                await self.return_lapsed()
+                await self.reclaim_expired()
             except (ConnectionLost, Refusal) as error:
                 logger.warning('engine_silent', reason=error.message)
-            await self.clock.sleep_ms(CHECK_MS)
+            await self.clock.sleep_ms(CHECK_INTERVAL_MS)
 
-    async def return_lapsed(self) -> None:
+    async def reclaim_expired(self) -> None:
         """Compare the engine's own list with the leases."""
         now_ms = self.clock.now_ms()
         for program in sorted(await self.engine.held()):
-            lease_ms = self.until_ms.setdefault(program, now_ms + LEASE_MS)
-            if lease_ms <= now_ms and program not in self.busy:
+            lease_ms = self.expires_ms.setdefault(program, now_ms + LEASE_MS)
+            if lease_ms <= now_ms and program not in self.running_calls:
                 logger.info('memory_returned', program=program)
                 await self.release(program)
--- a/pollenwalk/process/sidecar.py
+++ b/pollenwalk/process/sidecar.py
@@ -18,21 +18,21 @@
 from pollenwalk.errors import (
     Refusal,
 )
+from pollenwalk.process.call_executor import CallExecutor
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.sidecar_calls import SidecarCall
 from pollenwalk.process.sidecar_service import SidecarService
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.process.traces import Tracer
-from pollenwalk.process.upstream_calls import UpstreamCalls
 from pollenwalk.version.config import spec_from
 from pollenwalk.version.resources import Kind
 
-REPORT_MS = 1000
-SEED_EVERY = 10
-SWEEP_MS = 1000
-ORPHAN_MS = 10_000
-STOP_PATIENCE_MS = 60_000
-STOP_CHECK_MS = 20
+INITIAL_REPORT_INTERVAL_MS = 1000
+SEED_REPORT_EVERY = 10
+SWEEP_INTERVAL_MS = 1000
+ORPHAN_TIMEOUT_MS = 10_000
+STOP_TIMEOUT_MS = 60_000
+STOP_POLL_MS = 20
 ID_BITS = 64
 
 
@@ -74,7 +74,7 @@
         self.clock = clock
         self.tasks = TaskSet()
         self.boot_id = f'{dice.getrandbits(ID_BITS):016x}'
-        self.work = UpstreamCalls(upstream, clock, self.tasks, tracer)
+        self.executor = CallExecutor(upstream, clock, self.tasks, tracer)
         self.service = SidecarService(self)
         self.server = PeerServer(
             clock,
@@ -84,9 +84,9 @@
         )
         self.spec_version = 0
         self.entries = list(settings.entries)
-        self.interval_ms = float(REPORT_MS)
-        self.digest = ''
-        self.reports = 0
+        self.report_interval_ms = float(INITIAL_REPORT_INTERVAL_MS)
+        self.entries_digest = ''
+        self.report_number = 0
         self.leaving = False
         self.listeners: list[Listener] = []
 
@@ -95,28 +95,28 @@
         address = self.settings.address
         self.listeners = [
             await self.network.listen(address, self.server.serve),
-            await self.network.bind(address, self.datagram),
+            await self.network.bind(address, self.handle_datagram),
         ]
-        self.tasks.spawn(self.report(), 'report')
+        self.tasks.spawn(self.report_periodically(), 'report')
         self.tasks.spawn(self.sweep(), 'sweep')
-        if self.work.grants is not None:
-            self.tasks.spawn(self.work.grants.watch(), 'grants')
+        if self.executor.leases is not None:
+            self.tasks.spawn(self.executor.leases.reclaim_periodically(), 'grants')
 
     async def stop(self) -> None:
         """Stop gracefully: refuse new calls, end those in progress."""
         self.leaving = True
         self.send_report()
-        until_ms = self.clock.now_ms() + STOP_PATIENCE_MS
-        while self.busy() and self.clock.now_ms() < until_ms:
-            await self.clock.sleep_ms(STOP_CHECK_MS)
-        await self.clock.sleep_ms(STOP_CHECK_MS)
+        until_ms = self.clock.now_ms() + STOP_TIMEOUT_MS
+        while self.has_open_calls() and self.clock.now_ms() < until_ms:
+            await self.clock.sleep_ms(STOP_POLL_MS)
+        await self.clock.sleep_ms(STOP_POLL_MS)
         await self.close()
 
-    def busy(self) -> bool:
+    def has_open_calls(self) -> bool:
         """Tell whether a call runs or its answer is still being read."""
         return any(
             not call.ended_ms or call.stream.followers
-            for call in self.work.calls.calls.values()
+            for call in self.executor.calls.by_id.values()
         )
 
     async def close(self) -> None:
@@ -129,31 +129,31 @@
     async def sweep(self) -> None:
         """Stop orphan calls and forget old ones."""
         while True:
-            await self.clock.sleep_ms(SWEEP_MS)
-            self.work.calls.drop_old()
-            for call in list(self.work.calls.calls.values()):
+            await self.clock.sleep_ms(SWEEP_INTERVAL_MS)
+            self.executor.calls.drop_expired()
+            for call in list(self.executor.calls.by_id.values()):
                 if self.is_orphan(call):
-                    await self.work.stop_call(call)
+                    await self.executor.stop_call(call)
 
     def is_orphan(self, call: SidecarCall) -> bool:
         """Tell whether a repeatable call has long had no follower."""
         if call.stream.followers or call.ended_ms or not call.message.idempotent:
-            call.alone_ms = None
+            call.unfollowed_since_ms = None
             return False
         now_ms = self.clock.now_ms()
-        if call.alone_ms is None:
-            call.alone_ms = now_ms
-        return now_ms - call.alone_ms > ORPHAN_MS
+        if call.unfollowed_since_ms is None:
+            call.unfollowed_since_ms = now_ms
+        return now_ms - call.unfollowed_since_ms > ORPHAN_TIMEOUT_MS
 
-    async def report(self) -> None:
+    async def report_periodically(self) -> None:
         """Report the load for as long as the process lives."""
         while True:
             self.send_report()
-            await self.clock.sleep_ms(self.interval_ms)
+            await self.clock.sleep_ms(self.report_interval_ms)
 
     def send_report(self) -> None:
         """Send one report to each entry."""
-        self.reports += 1
+        self.report_number += 1
         settings = self.settings
         report = Report(
             settings.sidecar,
@@ -161,28 +161,28 @@
             settings.upstream,
             settings.address,
             settings.zone,
-            self.reports,
-            self.work.admission.running,
-            len(self.work.admission.waiting),
-            self.work.admission.slots,
+            self.report_number,
+            self.executor.admission.running,
+            len(self.executor.admission.waiting),
+            self.executor.admission.slots,
             self.leaving,
             self.spec_version,
-            self.digest,
+            self.entries_digest,
         )
         payload = encode_datagram(report)
-        for address in self.targets():
+        for address in self.report_addresses():
             self.network.send_datagram(settings.address, address, payload)
 
-    def targets(self) -> list[str]:
+    def report_addresses(self) -> list[str]:
         """Give whom to report to; now and then also the first entries.
 
         All that were named since may have been replaced meanwhile.
         """
-        if self.reports % SEED_EVERY:
+        if self.report_number % SEED_REPORT_EVERY:
             return self.entries
         return list(dict.fromkeys([*self.entries, *self.settings.entries]))
 
-    def datagram(self, payload: bytes, sender: str) -> None:
+    def handle_datagram(self, payload: bytes, sender: str) -> None:
         """Take an entry's reply to a report; noise is dropped."""
         try:
             message = decode_datagram(payload)
@@ -191,18 +191,20 @@
             return
         if isinstance(message, Entries) and message.addresses:
             self.entries = message.addresses
-            self.interval_ms = float(message.interval_ms)
-            self.digest = message.digest
+            self.report_interval_ms = float(message.interval_ms)
+            self.entries_digest = message.digest
         if isinstance(message, UpstreamConfig):
-            self.configure(message)
+            self.apply_config(message)
 
-    def configure(self, message: UpstreamConfig) -> None:
+    def apply_config(self, message: UpstreamConfig) -> None:
         """Put a newer declaration in force."""
         if message.name != self.settings.upstream:
             return
         if message.version <= self.spec_version:
             return
-        self.work.spec = spec_from(Kind.UPSTREAM, message.spec)
+        self.executor.spec = spec_from(Kind.UPSTREAM, message.spec)
         self.spec_version = message.version
-        self.work.admission.resize(self.work.spec.slots, self.work.spec.queue)
+        self.executor.admission.resize(
+            self.executor.spec.slots, self.executor.spec.queue
+        )
         self.send_report()
--- a/pollenwalk/process/sidecar_calls.py
+++ b/pollenwalk/process/sidecar_calls.py
@@ -8,8 +8,8 @@
 from pollenwalk.process.clock import Clock
 from pollenwalk.request.stream import TokenStream
 
-KEEP_FINISHED_MS = 600_000
-SEALED = float('inf')
+FINISHED_RETENTION_MS = 600_000
+SEALED_EPOCH = float('inf')
 
 
 class SidecarCall:
@@ -21,7 +21,7 @@
         self.history = history
         self.stream = TokenStream()
         self.ended_ms = 0.0
-        self.alone_ms: float | None = None
+        self.unfollowed_since_ms: float | None = None
         self.result: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self.task: asyncio.Task[None] | None = None
 
@@ -52,7 +52,7 @@
         yield await asyncio.shield(self.result)
 
 
-class Sessions:
+class EpochFence:
     """Which connections may still hand calls over.
 
     A home that connects again closes its older connections here, and a
@@ -62,16 +62,16 @@
 
     def __init__(self) -> None:
         """Start with none."""
-        self.lowest: dict[str, float] = {}
+        self.min_epochs: dict[str, float] = {}
 
-    def open(self, incarnation: str, epoch: int) -> None:
+    def advance(self, incarnation: str, epoch: int) -> None:
         """Note a connection's epoch; older ones become stale."""
-        known = self.lowest.get(incarnation, 0)
-        self.lowest[incarnation] = max(known, epoch)
+        known = self.min_epochs.get(incarnation, 0)
+        self.min_epochs[incarnation] = max(known, epoch)
 
     def seal(self, incarnation: str) -> None:
         """Take nothing more from a sealed incarnation."""
-        self.lowest[incarnation] = SEALED
+        self.min_epochs[incarnation] = SEALED_EPOCH
 
     def check(self, incarnation: str, epoch: int) -> None:
         """Check a connection before it hands a call over.
@@ -79,20 +79,20 @@
         Raises:
             Refusal: the connection is stale.
         """
-        if epoch < self.lowest.get(incarnation, 0):
+        if epoch < self.min_epochs.get(incarnation, 0):
             raise Refusal(
                 RefusalCode.STALE_SESSION,
                 'a later connection or a successor has replaced this one',
             )
 
 
-class SidecarCalls:
+class CallTable:
     """All calls of one start of a sidecar."""
 
     def __init__(self, clock: Clock) -> None:
         """Start empty."""
         self.clock = clock
-        self.calls: dict[str, SidecarCall] = {}
+        self.by_id: dict[str, SidecarCall] = {}
 
     def find(self, call_id: str) -> SidecarCall:
         """Give a call that this sidecar has.
@@ -100,7 +100,7 @@
         Raises:
             Refusal: it has none of that id, or no longer.
         """
-        call = self.calls.get(call_id)
+        call = self.by_id.get(call_id)
         if call is None:
             raise Refusal(
                 RefusalCode.UNKNOWN_CALL,
@@ -109,11 +109,11 @@
             )
         return call
 
-    def drop_old(self) -> None:
+    def drop_expired(self) -> None:
         """Forget calls that ended long ago and were never settled."""
-        limit_ms = self.clock.now_ms() - KEEP_FINISHED_MS
-        self.calls = {
+        limit_ms = self.clock.now_ms() - FINISHED_RETENTION_MS
+        self.by_id = {
             call_id: call
-            for call_id, call in self.calls.items()
+            for call_id, call in self.by_id.items()
             if not call.ended_ms or call.ended_ms > limit_ms
         }
--- a/pollenwalk/process/sidecar_histories.py
+++ b/pollenwalk/process/sidecar_histories.py
@@ -14,7 +14,7 @@
         """Start empty."""
         self.histories: dict[str, History] = {}
 
-    def join(self, message: Dispatch) -> list[HistoryItem] | None:
+    def merge(self, message: Dispatch) -> list[HistoryItem] | None:
         """Join a dispatch's delta to what is here.
 
         Returns:
@@ -30,7 +30,7 @@
             return None
         if history.digest != message.base:
             # The home never recorded what this sidecar kept of a lost call.
-            history = self.cut(history, message.base)
+            history = self.truncate(history, message.base)
         history.extend(message.delta)
         if history.digest != message.digest:
             raise Refusal(
@@ -38,17 +38,17 @@
                 'the history does not match its digest',
             )
         self.histories[message.program] = history
-        self.bound()
+        self.evict_excess()
         return list(history.entries)
 
-    def cut(self, history: History, digest: str) -> History:
+    def truncate(self, history: History, digest: str) -> History:
         """Give the history up to a digest."""
         position = history.digests.index(digest)
         shorter = History()
         shorter.extend(history.entries[:position])
         return shorter
 
-    def extend(self, message: Dispatch, answer: Answer) -> None:
+    def append_turn(self, message: Dispatch, answer: Answer) -> None:
         """Add what an ended call adds, as the home will."""
         history = self.histories.get(message.program)
         if history is not None and history.digest == message.digest:
@@ -58,7 +58,7 @@
         """Forget a program."""
         self.histories.pop(program, None)
 
-    def bound(self) -> None:
+    def evict_excess(self) -> None:
         """Forget the programs that have not been used for longest."""
         while len(self.histories) > MAX_PROGRAMS:
             self.histories.pop(next(iter(self.histories)))
--- a/pollenwalk/process/sidecar_service.py
+++ b/pollenwalk/process/sidecar_service.py
@@ -19,13 +19,13 @@
     Tokens,
 )
 from pollenwalk.errors import Outcome, Refusal, RefusalCode
-from pollenwalk.process.sidecar_calls import Sessions
-from pollenwalk.process.upstream_calls import UpstreamCalls
+from pollenwalk.process.call_executor import CallExecutor
+from pollenwalk.process.sidecar_calls import EpochFence
 
 RETRY_AFTER_MS = 1000
 
 
-class SidecarWork(Protocol):
+class SidecarInterface(Protocol):
     """A sidecar, as the answers to its peers see it.
 
     Attributes:
@@ -36,7 +36,7 @@
 
     boot_id: str
     leaving: bool
-    work: UpstreamCalls
+    executor: CallExecutor
 
     def send_report(self) -> None:
         """Send one report to each entry."""
@@ -45,33 +45,35 @@
 class SidecarService:
     """Answers peers for one start of a sidecar."""
 
-    def __init__(self, sidecar: SidecarWork) -> None:
+    def __init__(self, sidecar: SidecarInterface) -> None:
         """Answer for `sidecar`."""
         self.sidecar = sidecar
-        self.work = sidecar.work
-        self.sessions = Sessions()
+        self.executor = sidecar.executor
+        self.epoch_fence = EpochFence()
 
     async def handle(self, hello: Hello, message: Any) -> AsyncIterator[Any]:
         """Answer one question of an entry."""
-        self.sessions.open(hello.incarnation, hello.epoch)
+        self.epoch_fence.advance(hello.incarnation, hello.epoch)
         answer = HANDLERS.get(type(message))
         if answer is None:
             raise Refusal(RefusalCode.PROTOCOL, f'unexpected {type(message)}')
         async for item in answer(self, hello, message):
             yield item
 
-    async def take(self, hello: Hello, message: Dispatch) -> AsyncIterator[Any]:
+    async def dispatch(self, hello: Hello, message: Dispatch) -> AsyncIterator[Any]:
         """Take a call over, or attach to the one already here."""
-        self.sessions.check(hello.incarnation, hello.epoch)
+        self.epoch_fence.check(hello.incarnation, hello.epoch)
         self.check_boot_id(message.boot_id, Outcome.NOT_RUN)
-        call = self.work.calls.calls.get(message.call)
+        call = self.executor.calls.by_id.get(message.call)
         if call is None or (call.failed and message.idempotent):
-            self.check_open()
-            history = self.work.histories.join(message) if self.work.grants else []
+            self.check_accepting()
+            history = (
+                self.executor.histories.merge(message) if self.executor.leases else []
+            )
             if history is None:
                 yield NeedHistory(message.program)
                 return
-            call = self.work.begin(message, history)
+            call = self.executor.start_call(message, history)
         async for item in call.follow(0):
             yield self.with_load(item)
 
@@ -79,7 +81,7 @@
         """Let an answer tell how many calls are still here."""
         if isinstance(item, Tokens):
             return item
-        ahead = self.work.admission.running + len(self.work.admission.waiting)
+        ahead = self.executor.admission.running + len(self.executor.admission.waiting)
         return item._replace(ahead=ahead)
 
     def check_boot_id(self, boot_id: str, outcome: Outcome) -> None:
@@ -91,7 +93,7 @@
                 outcome,
             )
 
-    def check_open(self) -> None:
+    def check_accepting(self) -> None:
         """Refuse new calls while leaving or without a declaration."""
         if self.sidecar.leaving:
             raise Refusal(
@@ -99,7 +101,7 @@
                 'this upstream host is leaving',
                 retry_after_ms=RETRY_AFTER_MS,
             )
-        if self.work.spec is None:
+        if self.executor.spec is None:
             raise Refusal(
                 RefusalCode.NO_UPSTREAM,
                 'this sidecar has no declaration yet',
@@ -109,15 +111,15 @@
     async def follow(self, hello: Hello, message: Follow) -> AsyncIterator[Any]:
         """Attach to a call."""
         self.check_boot_id(message.boot_id, Outcome.UNKNOWN)
-        async for item in self.work.calls.find(message.call).follow(message.offset):
+        async for item in self.executor.calls.find(message.call).follow(message.offset):
             yield item
 
     async def resolve(self, hello: Hello, message: Resolve) -> AsyncIterator[Any]:
         """Tell what became of a call, and see to it that this stays so."""
         self.check_boot_id(message.boot_id, Outcome.UNKNOWN)
         if message.fence:
-            self.sessions.seal(message.fence)
-        call = self.work.calls.calls.get(message.call)
+            self.epoch_fence.seal(message.fence)
+        call = self.executor.calls.by_id.get(message.call)
         if call is None:
             yield Resolution('not_run')
         else:
@@ -126,25 +128,25 @@
     async def settle(self, hello: Hello, message: Settle) -> AsyncIterator[Any]:
         """Drop calls whose results are durable elsewhere."""
         for call_id in message.calls:
-            call = self.work.calls.calls.get(call_id)
+            call = self.executor.calls.by_id.get(call_id)
             if call is not None and call.ended_ms:
-                self.work.calls.calls.pop(call_id)
+                self.executor.calls.by_id.pop(call_id)
         yield Done()
 
     async def renew(self, hello: Hello, message: Renew) -> AsyncIterator[Any]:
         """Renew leases on engine memory."""
-        if self.work.grants is not None:
+        if self.executor.leases is not None:
             for program in message.programs:
-                self.work.grants.renew(program)
+                self.executor.leases.renew(program)
         yield Done()
 
     async def release(self, hello: Hello, message: Release) -> AsyncIterator[Any]:
         """Cancel what ended programs run and return their memory."""
         for program in message.programs:
-            await self.work.cancel_program(program)
-            self.work.histories.drop(program)
-            if self.work.grants is not None:
-                await self.work.grants.release(program)
+            await self.executor.cancel_program(program)
+            self.executor.histories.drop(program)
+            if self.executor.leases is not None:
+                await self.executor.leases.release(program)
         yield Done()
 
     async def drain(self, hello: Hello, message: Drain) -> AsyncIterator[Any]:
@@ -156,7 +158,7 @@
 
 Handler = Callable[[SidecarService, Hello, Any], AsyncIterator[Any]]
 HANDLERS: dict[type[Any], Handler] = {
-    Dispatch: SidecarService.take,
+    Dispatch: SidecarService.dispatch,
     Follow: SidecarService.follow,
     Resolve: SidecarService.resolve,
     Settle: SidecarService.settle,
--- a/standin/scenario/runner.py
+++ b/standin/scenario/runner.py
@@ -141,7 +141,7 @@
     def sidecar_with(self, program_id: str) -> str:
         """Give the sidecar that runs a call of a program."""
         for name, process in self.world.sidecars.items():
-            for call in process.sidecar.work.calls.calls.values():
+            for call in process.sidecar.executor.calls.by_id.values():
                 if call.message.program == program_id and not call.ended_ms:
                     return name
         raise LookupError(f'no sidecar runs a call of {program_id}')
@@ -415,7 +415,7 @@
         for name, process in self.world.sidecars.items():
             if process.node.dead or process.sidecar.settings.upstream != upstream:
                 continue
-            present = getattr(process.sidecar.work.spec, field)
+            present = getattr(process.sidecar.executor.spec, field)
             if str(present) != value:
                 raise AssertionError(f'{name} has {present}')
 
--- a/test/test_broken.py
+++ b/test/test_broken.py
@@ -13,9 +13,9 @@
 
 from pollenwalk.process.entry import Entry
 from pollenwalk.process.fleet import Fleet
-from pollenwalk.process.grants import Grants
 from pollenwalk.process.home import Home
-from pollenwalk.process.sidecar_calls import Sessions
+from pollenwalk.process.memory_leases import MemoryLeases
+from pollenwalk.process.sidecar_calls import EpochFence
 from pollenwalk.process.takeover import Sealed, Takeover
 from pollenwalk.program.budget import Budget
 from pollenwalk.program.live import LiveProgram
@@ -68,7 +68,7 @@
     """Take silence for a proof that the call did not run."""
 
 
-async def watch_nothing(self: Grants) -> None:
+async def reclaim_nothing(self: MemoryLeases) -> None:
     """Never compare with the engine's own list."""
 
 
@@ -86,7 +86,7 @@
     ),
     Break(
         'no fence against late dispatches',
-        Sessions,
+        EpochFence,
         'check',
         lambda self, incarnation, epoch: None,
         'late_dispatch_of_paused_home',
@@ -128,9 +128,9 @@
     ),
     Break(
         'engine memory is never compared',
-        Grants,
-        'watch',
-        watch_nothing,
+        MemoryLeases,
+        'reclaim_periodically',
+        reclaim_nothing,
         'sidecar_dies_in_chat',
     ),
     Break(
