--- a/pollenwalk/connection/http_api.py
+++ b/pollenwalk/connection/http_api.py
@@ -357,7 +357,9 @@
             if isinstance(spec, ProgramSpec)
             for name in spec.upstreams
         ]
-        return bool(names) and all(self.entry.fleet.views(name) for name in names)
+        return bool(names) and all(
+            self.entry.fleet.available_hosts(name) for name in names
+        )
 
     async def show_metrics(self, request: Request) -> Response:
         """Show the metrics in the Prometheus text format."""
--- a/pollenwalk/process/beginnings.py
+++ b/pollenwalk/process/beginnings.py
@@ -213,7 +213,7 @@
         level = self.parts.config.level(spec.priority)
         for name in spec.upstreams:
             upstream = self.parts.config.upstream(name)
-            hosts = self.parts.fleet.views(name)
+            hosts = self.parts.fleet.available_hosts(name)
             if upstream and upstream.kind == 'model' and not has_room(hosts, level):
                 raise Refusal(
                     RefusalCode.OVERLOADED,
--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -276,13 +276,13 @@
         if isinstance(message, Beat):
             self.liveness.heard(message.incarnation)
         elif isinstance(message, Report):
-            self.fleet.take(message)
+            self.fleet.record_report(message)
             self.reply(message)
 
     def reply(self, report: Report) -> None:
         """Tell a sidecar which entries there are and what is in force."""
         entries = self.subsets.entries(report, len(self.fleet.hosts))
-        self.fleet.interval_ms = entries.interval_ms
+        self.fleet.report_interval_ms = entries.interval_ms
         if entries.digest != report.digest and entries.addresses:
             self.send(report.address, entries)
         accepted = self.config.accepted.get(
--- a/pollenwalk/process/fleet.py
+++ b/pollenwalk/process/fleet.py
@@ -11,8 +11,8 @@
 from pollenwalk.policy.placement import HostView
 from pollenwalk.process.clock import Clock
 
-SILENT_AFTER_REPORTS = 3.5
-FIRST_INTERVAL_MS = 1000
+SILENT_AFTER_INTERVALS = 3.5
+INITIAL_REPORT_INTERVAL_MS = 1000
 
 
 class Location(NamedTuple):
@@ -29,30 +29,30 @@
     at its last word beyond our own at that moment.
     """
 
-    def __init__(self, report: Report, heard_ms: float) -> None:
+    def __init__(self, report: Report, reported_ms: float) -> None:
         """Start from the first report."""
         self.report = report
-        self.heard_ms = heard_ms
-        self.own: dict[str, None] = {}
-        self.others = report.running + report.queued
-        self.refused_until_ms = 0.0
+        self.reported_ms = reported_ms
+        self.own_calls: dict[str, None] = {}
+        self.other_calls = report.running + report.queued
+        self.paused_until_ms = 0.0
 
-    def take(self, report: Report, heard_ms: float) -> None:
+    def update(self, report: Report, reported_ms: float) -> None:
         """Replace the report unless it is older than the present one."""
         same_boot = report.boot_id == self.report.boot_id
         if same_boot and report.number < self.report.number:
             return
         left = self.report.leaving and same_boot
         self.report = report._replace(leaving=report.leaving or left)
-        self.heard_ms = heard_ms
-        self.refused_until_ms = 0.0
-        self.count(report.running + report.queued)
+        self.reported_ms = reported_ms
+        self.paused_until_ms = 0.0
+        self.update_load(report.running + report.queued)
 
-    def count(self, ahead: int) -> None:
+    def update_load(self, ahead: int) -> None:
         """Note how many calls the host has in all."""
-        self.others = max(ahead - len(self.own), 0)
+        self.other_calls = max(ahead - len(self.own_calls), 0)
 
-    def view(self, region: str) -> HostView:
+    def to_view(self, region: str) -> HostView:
         """Give what placement needs."""
         report = self.report
         return HostView(
@@ -62,7 +62,7 @@
             region,
             report.slots,
             report.running + report.queued,
-            self.others + len(self.own),
+            self.other_calls + len(self.own_calls),
         )
 
 
@@ -74,84 +74,87 @@
         self.clock = clock
         self.regions = regions
         self.hosts: dict[str, UpstreamHost] = {}
-        self.interval_ms = FIRST_INTERVAL_MS
-        self.leaving: frozenset[str] = frozenset()
+        self.report_interval_ms = INITIAL_REPORT_INTERVAL_MS
+        self.leaving_addresses: frozenset[str] = frozenset()
 
-    def take(self, report: Report) -> None:
+    def record_report(self, report: Report) -> None:
         """Note a report."""
         now_ms = self.clock.now_ms()
         host = self.hosts.get(report.sidecar)
         if host is None:
             self.hosts[report.sidecar] = UpstreamHost(report, now_ms)
         else:
-            host.take(report, now_ms)
+            host.update(report, now_ms)
 
-    def views(self, upstream: str) -> list[HostView]:
+    def available_hosts(self, upstream: str) -> list[HostView]:
         """Give the hosts of an upstream that may take new work."""
         now_ms = self.clock.now_ms()
         return [
-            host.view(self.regions.get(host.report.zone, ''))
+            host.to_view(self.regions.get(host.report.zone, ''))
             for _, host in sorted(self.hosts.items())
-            if host.report.upstream == upstream and self.takes_work(host, now_ms)
+            if host.report.upstream == upstream and self.is_available(host, now_ms)
         ]
 
-    def views_of(self, upstreams: list[str]) -> Iterator[HostView]:
+    def available_hosts_of(self, upstreams: list[str]) -> Iterator[HostView]:
         """Give the hosts of several upstreams that may take new work."""
         for upstream in upstreams:
-            yield from self.views(upstream)
+            yield from self.available_hosts(upstream)
 
-    def takes_work(self, host: UpstreamHost, now_ms: float) -> bool:
+    def is_available(self, host: UpstreamHost, now_ms: float) -> bool:
         """Tell whether a host is heard, stays, and did not just refuse."""
-        if host.report.address.rpartition(':')[0] in self.leaving:
+        if host.report.address.rpartition(':')[0] in self.leaving_addresses:
             return False
         if (
             host.report.leaving
             or not host.report.slots
-            or now_ms < host.refused_until_ms
+            or now_ms < host.paused_until_ms
         ):
             return False
-        return now_ms - host.heard_ms <= self.interval_ms * SILENT_AFTER_REPORTS
+        return (
+            now_ms - host.reported_ms
+            <= self.report_interval_ms * SILENT_AFTER_INTERVALS
+        )
 
-    def sent(self, sidecar: str, call: str) -> None:
+    def add_call(self, sidecar: str, call: str) -> None:
         """Note a call on its way to a host."""
-        self.hosts[sidecar].own[call] = None
+        self.hosts[sidecar].own_calls[call] = None
 
-    def returned(self, sidecar: str, call: str) -> None:
+    def remove_call(self, sidecar: str, call: str) -> None:
         """Note that a call is back."""
         host = self.hosts.get(sidecar)
         if host is not None:
-            host.own.pop(call, None)
+            host.own_calls.pop(call, None)
 
-    def answered(self, sidecar: str, ahead: int) -> None:
+    def update_load(self, sidecar: str, ahead: int) -> None:
         """Note the load that came with an answer."""
         host = self.hosts.get(sidecar)
         if host is not None:
-            host.count(ahead)
+            host.update_load(ahead)
 
-    def leaves(self, sidecar: str) -> None:
+    def mark_leaving(self, sidecar: str) -> None:
         """Note a host's own word that it leaves."""
         host = self.hosts.get(sidecar)
         if host is not None:
             host.report = host.report._replace(leaving=True)
 
-    def mark_leaving(self, addresses: list[str]) -> None:
+    def set_leaving_addresses(self, addresses: list[str]) -> None:
         """Note the hosts that the platform says are leaving, by IP address.
 
         A host that is no longer named is live again.
         """
-        self.leaving = frozenset(addresses)
+        self.leaving_addresses = frozenset(addresses)
 
-    def refused(self, sidecar: str, pause_ms: float) -> None:
+    def pause_host(self, sidecar: str, pause_ms: float) -> None:
         """Leave a host out for a while after a refusal or a lost path."""
         host = self.hosts.get(sidecar)
         if host is not None:
-            host.refused_until_ms = self.clock.now_ms() + pause_ms
+            host.paused_until_ms = self.clock.now_ms() + pause_ms
 
-    def forget_silent(self, after_ms: float) -> None:
+    def drop_silent(self, after_ms: float) -> None:
         """Drop hosts that have been silent for long."""
         limit_ms = self.clock.now_ms() - after_ms
         self.hosts = {
             sidecar: host
             for sidecar, host in self.hosts.items()
-            if host.heard_ms > limit_ms
+            if host.reported_ms > limit_ms
         }
--- a/pollenwalk/process/neighbours.py
+++ b/pollenwalk/process/neighbours.py
@@ -33,7 +33,7 @@
                     self.suspect(record)
                 for record in self.forerunners():
                     self.suspect(record)
-            self.entry.fleet.forget_silent(FORGET_SILENT_MS)
+            self.entry.fleet.drop_silent(FORGET_SILENT_MS)
             await self.entry.clock.sleep_ms(LOOK_MS)
 
     def forerunners(self) -> list[EntryRecord]:
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -73,7 +73,7 @@
                     f'no host of {self.request.upstream} takes work now',
                     retry_after_ms=RETRY_AFTER_MS,
                 )
-            hosts = self.parts.fleet.views(self.request.upstream)
+            hosts = self.parts.fleet.available_hosts(self.request.upstream)
             host = self.parts.placement.choose(hosts, self.need())
             if host is not None:
                 return host
@@ -107,12 +107,12 @@
         with self.parts.tracer.span('dispatch', self.request.trace) as trace:
             message = self.build(host, connection.boot_id, max_tokens, trace)
             self.call.running = True
-            self.parts.fleet.sent(host.sidecar, self.call.id)
+            self.parts.fleet.add_call(host.sidecar, self.call.id)
             try:
                 answer = await dispatch(connection, self.live, self.call, message)
             finally:
-                self.parts.fleet.returned(host.sidecar, self.call.id)
-        self.parts.fleet.answered(host.sidecar, answer.ahead)
+                self.parts.fleet.remove_call(host.sidecar, self.call.id)
+        self.parts.fleet.update_load(host.sidecar, answer.ahead)
         self.parts.retries.of(self.program.caller, self.request.upstream).earn()
         return answer._replace(ahead=0)
 
@@ -150,7 +150,7 @@
     async def lost(self, host: HostView) -> None:
         """Leave a silent host out and pause before the next attempt."""
         logger.info('host_lost', sidecar=host.sidecar, call=self.call.id)
-        self.parts.fleet.refused(host.sidecar, LOST_PAUSE_MS)
+        self.parts.fleet.pause_host(host.sidecar, LOST_PAUSE_MS)
         await self.pause(host)
 
     async def refused(self, host: HostView, refusal: Refusal) -> None:
@@ -160,9 +160,9 @@
             Refusal: the attempts or the retries are used up.
         """
         if refusal.code == RefusalCode.STOPPING:
-            self.parts.fleet.leaves(host.sidecar)
+            self.parts.fleet.mark_leaving(host.sidecar)
         else:
-            self.parts.fleet.refused(
+            self.parts.fleet.pause_host(
                 host.sidecar,
                 refusal.retry_after_ms or REFUSED_PAUSE_MS,
             )
--- a/pollenwalk/request/routing.py
+++ b/pollenwalk/request/routing.py
@@ -128,7 +128,7 @@
         spec = self.home.parts.config.program(request.declaration)
         upstreams = spec.upstreams if spec else []
         fleet = self.home.parts.fleet
-        regions = Counter(host.region for host in fleet.views_of(upstreams))
+        regions = Counter(host.region for host in fleet.available_hosts_of(upstreams))
         own = self.location.region
         if not regions or regions[own] == max(regions.values()):
             return self.incarnation
--- a/standin/system.py
+++ b/standin/system.py
@@ -227,7 +227,7 @@
     def sees_all(self, entry: Entry) -> bool:
         """Tell whether an entry is ready and can use all upstream hosts."""
         usable = sum(
-            len(entry.fleet.views(servers.upstream))
+            len(entry.fleet.available_hosts(servers.upstream))
             for servers in (*self.layout.models, *self.layout.plains)
         )
         declared = len(entry.config.specs) == len(parse_resources(DECLARATIONS, ''))
--- a/standin/virtual/world.py
+++ b/standin/virtual/world.py
@@ -200,7 +200,9 @@
 
     def sees_all(self, entry: Entry) -> bool:
         """Tell whether an entry is ready and can use all upstream hosts."""
-        usable = len(entry.fleet.views('advisory')) + len(entry.fleet.views('orders'))
+        usable = len(entry.fleet.available_hosts('advisory')) + len(
+            entry.fleet.available_hosts('orders')
+        )
         declared = len(entry.config.specs) == len(parse_resources(DECLARATIONS, ''))
         return entry.ready and declared and usable == len(self.sidecars)
 
--- a/test/test_broken.py
+++ b/test/test_broken.py
@@ -150,7 +150,7 @@
     Break(
         "the platform's list of hosts is not heeded",
         Fleet,
-        'mark_leaving',
+        'set_leaving_addresses',
         lambda self, addresses: None,
         'host_list_says_leaving',
     ),
