--- a/pollenwalk/commands/options.py
+++ b/pollenwalk/commands/options.py
@@ -42,7 +42,7 @@
     if options.store:
         return HttpStore(options.store.rstrip('/'))
     settings = read_settings(options.config, 'operator')
-    return HttpStore(settings.of('store')['url'])
+    return HttpStore(settings.section('store')['url'])
 
 
 def split_name(text: str) -> tuple[str, str]:
--- a/pollenwalk/commands/standin.py
+++ b/pollenwalk/commands/standin.py
@@ -75,7 +75,7 @@
     from standin.load import run_programs  # noqa: PLC0415, WPS433
 
     settings = read_settings(options.config, 'load')
-    set_up_logs(settings.of('process')['log_level'])
-    result = asyncio.run(run_programs(settings.of('load')))
+    set_up_logs(settings.section('process')['log_level'])
+    result = asyncio.run(run_programs(settings.section('load')))
     sys.stdout.write(f'{json.dumps(result)}\n')
     return int(result['programs_completed'] != result['programs_begun'])
--- a/pollenwalk/connection/http_api.py
+++ b/pollenwalk/connection/http_api.py
@@ -30,7 +30,7 @@
 )
 from pollenwalk.process.entry import Entry
 from pollenwalk.process.metrics import EntryMetrics
-from pollenwalk.process.trace_header import HEADER as TRACE_HEADER
+from pollenwalk.process.trace_header import TRACE_HEADER
 from pollenwalk.program.view import problem
 from pollenwalk.version.resources import ProgramSpec
 
@@ -234,7 +234,7 @@
         if not isinstance(refusal, Refusal):
             logger.warning('request_failed', reason=str(error))
             refusal = Refusal(RefusalCode.OUTCOME_UNKNOWN, str(error))
-        self.metrics.refused(refusal)
+        self.metrics.count_refusal(refusal)
         return refusal_response(refusal)
 
     async def gone(self, request: Request, error: Exception) -> Response:
@@ -254,7 +254,7 @@
         )
         check_begin(message)
         view = await self.entry.routing.begin(message)
-        self.metrics.begun()
+        self.metrics.count_program()
         return JSONResponse(view.body, status_code=HTTPStatus.CREATED)
 
     async def call(self, request: Request) -> Response:
@@ -283,7 +283,7 @@
 
     async def whole(self, message: CallProgram) -> Response:
         """Answer once, with the whole answer."""
-        with self.metrics.timed():
+        with self.metrics.time_call():
             async for item in self.entry.routing.call(message):
                 if isinstance(item, Answer):
                     return JSONResponse(answer_body(message, item))
@@ -317,7 +317,7 @@
     def as_event(self, message: CallProgram, item: Tokens | Answer) -> bytes:
         """Pack tokens or the answer."""
         if isinstance(item, Tokens):
-            self.metrics.streamed(len(item.texts))
+            self.metrics.count_tokens(len(item.texts))
             return event('tokens', {'offset': item.offset, 'texts': item.texts})
         return event('answer', answer_body(message, item))
 
--- a/pollenwalk/connection/store_http.py
+++ b/pollenwalk/connection/store_http.py
@@ -18,7 +18,7 @@
 
 from pollenwalk.connection.http_client import HttpClient
 from pollenwalk.errors import StoreConflict, StoreUnavailable
-from pollenwalk.process.store import ABSENT, LONG_WAIT_MS, Changes, StoredObject
+from pollenwalk.process.store import ABSENT, WATCH_TIMEOUT_MS, Changes, StoredObject
 
 ANSWER_TIMEOUT_S = 2
 WATCH_TIMEOUT_S = 15
@@ -115,7 +115,7 @@
         self,
         prefix: str,
         revision: int,
-        wait_ms: int = LONG_WAIT_MS,
+        wait_ms: int = WATCH_TIMEOUT_MS,
     ) -> Changes:
         """Wait for changes after a revision."""
         path = f'/watch?prefix={quote(prefix)}&revision={revision}'
--- a/pollenwalk/platform/objects.py
+++ b/pollenwalk/platform/objects.py
@@ -15,7 +15,7 @@
 from pollenwalk.connection.http_client import HttpClient
 from pollenwalk.connection.keepalive import probe_peer
 from pollenwalk.errors import StoreConflict, StoreHistoryGone, StoreUnavailable
-from pollenwalk.process.store import ABSENT, LONG_WAIT_MS, Changes, StoredObject
+from pollenwalk.process.store import ABSENT, WATCH_TIMEOUT_MS, Changes, StoredObject
 
 OBJECTS = '/v1/objects/'
 # Three round trips between regions and the slowest answer that still helps.
@@ -180,7 +180,7 @@
         self,
         prefix: str,
         revision: int,
-        wait_ms: int = LONG_WAIT_MS,
+        wait_ms: int = WATCH_TIMEOUT_MS,
     ) -> Changes:
         """Wait for changes after a revision.
 
--- a/pollenwalk/process/daemon.py
+++ b/pollenwalk/process/daemon.py
@@ -42,7 +42,7 @@
     Raises:
         UserError: an address can't be bound.
     """
-    process = settings.of('process')
+    process = settings.section('process')
     set_up_logs(process['log_level'], sys.stdout)
     tracer = make_tracer(process['trace_file'], process['trace_share'])
     try:
@@ -77,9 +77,9 @@
 
 async def start_entry(settings: Settings, tracer: Tracer) -> Stop:
     """Start an entry from its settings."""
-    own = settings.of('entry')
-    store = HttpStore(settings.of('store')['url'])
-    hosts_url = settings.of('hosts').get('url')
+    own = settings.section('entry')
+    store = HttpStore(settings.section('store')['url'])
+    hosts_url = settings.section('hosts').get('url')
     hosts = HttpHosts(hosts_url) if hosts_url else None
     dice = random.Random()
     entry = Entry(
@@ -114,7 +114,7 @@
 
 async def start_sidecar(settings: Settings, tracer: Tracer) -> Stop:
     """Start a sidecar from its settings."""
-    own = settings.of('sidecar')
+    own = settings.section('sidecar')
     upstream = make_upstream(own)
     sidecar = Sidecar(
         SidecarSettings(
--- a/pollenwalk/process/following.py
+++ b/pollenwalk/process/following.py
@@ -12,7 +12,7 @@
 from pollenwalk.errors import StoreHistoryGone, StoreUnavailable
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.store import (
-    LONG_WAIT_MS,
+    WATCH_TIMEOUT_MS,
     Backoff,
     Changes,
     ObjectStore,
@@ -53,7 +53,7 @@
         clock: Clock,
         prefix: str,
         handlers: Handlers,
-        wait_ms: float = LONG_WAIT_MS,
+        wait_ms: float = WATCH_TIMEOUT_MS,
     ) -> None:
         """Prepare to follow.
 
--- a/pollenwalk/process/gateway_daemon.py
+++ b/pollenwalk/process/gateway_daemon.py
@@ -46,7 +46,7 @@
     Raises:
         UserError: an address can't be bound.
     """
-    set_up_logs(settings.of('process')['log_level'], sys.stdout)
+    set_up_logs(settings.section('process')['log_level'], sys.stdout)
     try:
         asyncio.run(GatewayProcess(settings, path).run())
     except OSError as error:
@@ -61,8 +61,8 @@
         self.settings = settings
         self.path = path
         self.clock = LoopClock()
-        own = settings.of('gateway')
-        self.store = PlatformStore(settings.of('store')['url'])
+        own = settings.section('gateway')
+        self.store = PlatformStore(settings.section('store')['url'])
         self.gateway = Gateway(
             GatewaySettings(
                 own['name'],
@@ -114,7 +114,7 @@
 
     async def run(self) -> None:
         """Serve until SIGTERM, then finish what has begun."""
-        own = self.settings.of('gateway')
+        own = self.settings.section('gateway')
         stopped = stop_on_signals(self.reload)
         logger.info('start', role='gateway', name=own['name'], zone=own['zone'])
         await self.gateway.start()
@@ -163,4 +163,4 @@
             return
         logger.info('reload', changed=settings != self.settings)
         self.settings = settings
-        self.store.url = settings.of('store')['url']
+        self.store.url = settings.section('store')['url']
--- a/pollenwalk/process/keeper_daemon.py
+++ b/pollenwalk/process/keeper_daemon.py
@@ -28,7 +28,7 @@
     Raises:
         UserError: the folder or an address can't be used.
     """
-    set_up_logs(settings.of('process')['log_level'], sys.stdout)
+    set_up_logs(settings.section('process')['log_level'], sys.stdout)
     try:
         asyncio.run(serve(settings))
     except OSError as error:
@@ -39,12 +39,12 @@
     """Serve until SIGTERM."""
     # Nothing of a keeper can be changed while it runs.
     stopped = stop_on_signals(lambda: logger.info('reload'))
-    store = PlatformStore(settings.of('store')['url'])
+    store = PlatformStore(settings.section('store')['url'])
     keeper = make_keeper(settings, store)
     logger.info('start', role='keeper', name=keeper.settings.name)
     await keeper.start()
     begin_changes(keeper, store)
-    page = await show_metrics(keeper, settings.of('keeper')['metrics'])
+    page = await show_metrics(keeper, settings.section('keeper')['metrics'])
     await stopped_or_failed(stopped, keeper)
     await page.stop()
     await keeper.stop()
@@ -81,7 +81,7 @@
 
 def make_keeper(settings: Settings, store: PlatformStore) -> Keeper:
     """Make a keeper from checked settings."""
-    own = settings.of('keeper')
+    own = settings.section('keeper')
     clock = LoopClock()
     return Keeper(
         KeeperSettings(
--- a/pollenwalk/process/logs.py
+++ b/pollenwalk/process/logs.py
@@ -25,14 +25,14 @@
 
 LEVELS = ('TRACE', 'DEBUG', 'INFO', 'WARNING', 'ERROR', 'CRITICAL')
 # Lines that may wait for the reader: about half a megabyte.
-MAX_WAITING = 2000
+MAX_QUEUED_LINES = 2000
 # Lines a second that a process writes at most; a line costs about 50 us.
 MAX_LINES_PER_SECOND = 600
 # The longest that a process waits for the reader of its last lines.
-DRAIN_S = 0.5
+FLUSH_TIMEOUT_S = 0.5
 
 
-def as_json_line(record: 'Record') -> str:
+def format_record(record: 'Record') -> str:
     """Give an event's fields as one line."""
     fields: dict[str, Any] = {
         'time': record['time'].isoformat(),
@@ -56,46 +56,46 @@
     def __init__(self, target: TextIO) -> None:
         """Write to a file in a thread of its own."""
         self.target = target
-        self.waiting: collections.deque[str] = collections.deque()
-        self.there_are_lines = threading.Event()
+        self.queue: collections.deque[str] = collections.deque()
+        self.lines_queued = threading.Event()
         self.idle = threading.Event()
         self.idle.set()
         self.dropped = 0
         self.second = 0
-        self.in_second = 0
+        self.lines_this_second = 0
         threading.Thread(target=self.run, name='logs', daemon=True).start()
 
-    def put(self, message: Any) -> None:
+    def enqueue(self, message: Any) -> None:
         """Queue one event, or drop it."""
-        if self.too_many() or len(self.waiting) >= MAX_WAITING:
+        if self.exceeds_rate() or len(self.queue) >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
         if self.dropped:
             gap = {'event': 'dropped', 'lines': self.dropped}
             self.dropped = 0
-            self.waiting.append(json.dumps(gap))
-        self.waiting.append(as_json_line(message.record))
+            self.queue.append(json.dumps(gap))
+        self.queue.append(format_record(message.record))
         self.idle.clear()
-        self.there_are_lines.set()
+        self.lines_queued.set()
 
-    def too_many(self) -> bool:
+    def exceeds_rate(self) -> bool:
         """Count a line and tell whether it exceeds the rate."""
         second = int(time.monotonic())
         if second != self.second:
             self.second = second
-            self.in_second = 0
-        self.in_second += 1
-        return self.in_second > MAX_LINES_PER_SECOND
+            self.lines_this_second = 0
+        self.lines_this_second += 1
+        return self.lines_this_second > MAX_LINES_PER_SECOND
 
     def run(self) -> None:
         """Write what is queued, for ever."""
         while True:
-            self.there_are_lines.wait()
-            self.there_are_lines.clear()
-            batch = [self.waiting.popleft() for _ in range(len(self.waiting))]
+            self.lines_queued.wait()
+            self.lines_queued.clear()
+            batch = [self.queue.popleft() for _ in range(len(self.queue))]
             if batch:
                 self.write(batch)
-            if not self.waiting:
+            if not self.queue:
                 self.idle.set()
 
     def write(self, batch: list[str]) -> None:
@@ -106,12 +106,12 @@
         except (OSError, ValueError):
             self.dropped += len(batch)
 
-    def drain(self, timeout_s: float) -> None:
+    def flush(self, timeout_s: float) -> None:
         """Wait a bounded time until all lines are written."""
         self.idle.wait(timeout_s)
 
 
-class Forward(logging.Handler):
+class LoggingBridge(logging.Handler):
     """Sends what libraries log through the standard module the same way."""
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -140,8 +140,8 @@
     if level.upper() not in LEVELS:
         raise UserError(f'log level {level!r}: allowed are {", ".join(LEVELS)}')
     writer = LineWriter(target or sys.stderr)
-    atexit.register(writer.drain, DRAIN_S)
+    atexit.register(writer.flush, FLUSH_TIMEOUT_S)
     logger.remove()
-    logger.add(writer.put, level=level.upper(), format='{message}')
-    logging.basicConfig(handlers=[Forward()], level=logging.WARNING, force=True)
+    logger.add(writer.enqueue, level=level.upper(), format='{message}')
+    logging.basicConfig(handlers=[LoggingBridge()], level=logging.WARNING, force=True)
     return writer
--- a/pollenwalk/process/metrics.py
+++ b/pollenwalk/process/metrics.py
@@ -48,22 +48,22 @@
         """Register a gauge."""
         return Gauge(f'pollenwalk_{name}', text, registry=self.registry)
 
-    def begun(self) -> None:
+    def count_program(self) -> None:
         """Count a program."""
         self.begun_total.inc({})
 
-    def refused(self, refusal: Refusal) -> None:
+    def count_refusal(self, refusal: Refusal) -> None:
         """Count a refusal by its code and outcome."""
         self.refused_total.inc(
             {'code': str(refusal.code), 'outcome': str(refusal.outcome)},
         )
 
-    def streamed(self, tokens: int) -> None:
+    def count_tokens(self, tokens: int) -> None:
         """Count streamed tokens."""
         self.tokens_total.add({}, tokens)
 
     @contextlib.contextmanager
-    def timed(self) -> Iterator[None]:
+    def time_call(self) -> Iterator[None]:
         """Time a whole call."""
         begun = time.perf_counter()
         yield
--- a/pollenwalk/process/settings.py
+++ b/pollenwalk/process/settings.py
@@ -96,7 +96,7 @@
     'load': ('process', 'load'),
     'operator': ('process', 'store'),
 }
-PLACING_ROLES = frozenset(('entry', 'gateway', 'keeper'))
+ROLES_WITH_REGION = frozenset(('entry', 'gateway', 'keeper'))
 
 
 class Settings(NamedTuple):
@@ -110,9 +110,9 @@
     sections: dict[str, dict[str, Any]]
     regions: dict[str, str]
 
-    def of(self, section: str) -> dict[str, Any]:
+    def section(self, name: str) -> dict[str, Any]:
         """Give one section's values."""
-        return self.sections[section]
+        return self.sections[name]
 
 
 def read_settings(path: Path, role: str) -> Settings:
@@ -218,7 +218,7 @@
     role: str,
 ) -> list[Problem]:
     """Check that the zone of a role that places calls has a region."""
-    zone = sections[role].get('zone') if role in PLACING_ROLES else None
+    zone = sections[role].get('zone') if role in ROLES_WITH_REGION else None
     if zone is None or zone in regions:
         return []
     known = ', '.join(regions) or 'none'
--- a/pollenwalk/process/spans.py
+++ b/pollenwalk/process/spans.py
@@ -17,9 +17,9 @@
     TraceContextTextMapPropagator,
 )
 
-from pollenwalk.process.trace_header import HEADER
+from pollenwalk.process.trace_header import TRACE_HEADER
 
-HEADER_FORM = re.compile('00-[0-9a-f]{32}-[0-9a-f]{16}-[0-9a-f]{2}')
+TRACEPARENT_PATTERN = re.compile('00-[0-9a-f]{32}-[0-9a-f]{16}-[0-9a-f]{2}')
 
 
 class FileExporter(SpanExporter):
@@ -38,7 +38,7 @@
         return SpanExportResult.SUCCESS
 
 
-class FileSpans:
+class FileSpanSource:
     """A share of all traces, kept in a file."""
 
     def __init__(self, path: str, share: float) -> None:
@@ -54,12 +54,12 @@
     def span(self, name: str, parent: str) -> Iterator[str]:
         """Run a block in a span; gives the header for the next hop."""
         context = None
-        if HEADER_FORM.fullmatch(parent):
-            context = self.propagator.extract({HEADER: parent})
+        if TRACEPARENT_PATTERN.fullmatch(parent):
+            context = self.propagator.extract({TRACE_HEADER: parent})
         with self.tracer.start_as_current_span(name, context):
             carrier: dict[str, str] = {}
             self.propagator.inject(carrier)
-            yield carrier.get(HEADER, '')
+            yield carrier.get(TRACE_HEADER, '')
 
     def close(self) -> None:
         """Write what is left."""
--- a/pollenwalk/process/store.py
+++ b/pollenwalk/process/store.py
@@ -14,10 +14,10 @@
 MAX_VALUE_BYTES = 1_000_000
 ABSENT = 0
 # Fewer and longer watches cost the store less.
-LONG_WAIT_MS = 25_000
-RETRY_FIRST_MS = 20
-RETRY_LAST_MS = 1000
-BACKOFF = 2
+WATCH_TIMEOUT_MS = 25_000
+FIRST_RETRY_DELAY_MS = 20
+MAX_RETRY_DELAY_MS = 1000
+BACKOFF_FACTOR = 2
 NONCE_BITS = 64
 
 
@@ -69,7 +69,7 @@
         self,
         prefix: str,
         revision: int,
-        wait_ms: int = LONG_WAIT_MS,
+        wait_ms: int = WATCH_TIMEOUT_MS,
     ) -> Changes:
         """Wait a bounded time for changes after a revision.
 
@@ -89,12 +89,12 @@
     def __init__(self, clock: Clock) -> None:
         """Start with the shortest pause."""
         self.clock = clock
-        self.pause_ms = float(RETRY_FIRST_MS)
+        self.delay_ms = float(FIRST_RETRY_DELAY_MS)
 
     async def pause(self) -> None:
         """Wait, and wait longer next time."""
-        await self.clock.sleep_ms(self.pause_ms)
-        self.pause_ms = min(self.pause_ms * BACKOFF, RETRY_LAST_MS)
+        await self.clock.sleep_ms(self.delay_ms)
+        self.delay_ms = min(self.delay_ms * BACKOFF_FACTOR, MAX_RETRY_DELAY_MS)
 
 
 async def create_once(
--- a/pollenwalk/process/trace_header.py
+++ b/pollenwalk/process/trace_header.py
@@ -1,3 +1,3 @@
 """The header that carries a trace from hop to hop (W3C trace context)."""
 
-HEADER = 'traceparent'
+TRACE_HEADER = 'traceparent'
--- a/pollenwalk/process/traces.py
+++ b/pollenwalk/process/traces.py
@@ -57,6 +57,6 @@
     """Make a tracer that writes a share of all traces to a file."""
     if not path:
         return Tracer()
-    from pollenwalk.process.spans import FileSpans  # noqa: PLC0415, WPS433
+    from pollenwalk.process.spans import FileSpanSource  # noqa: PLC0415, WPS433
 
-    return Tracer(FileSpans(path, share))
+    return Tracer(FileSpanSource(path, share))
--- a/standin/linked_store.py
+++ b/standin/linked_store.py
@@ -1,7 +1,12 @@
 """The store as seen from a place: its latency, and the bytes across regions."""
 
 from pollenwalk.process.clock import Clock
-from pollenwalk.process.store import LONG_WAIT_MS, Changes, ObjectStore, StoredObject
+from pollenwalk.process.store import (
+    WATCH_TIMEOUT_MS,
+    Changes,
+    ObjectStore,
+    StoredObject,
+)
 from standin.link import Map, Place
 
 OVERHEAD_BYTES = 200
@@ -72,7 +77,7 @@
         self,
         prefix: str,
         revision: int,
-        wait_ms: int = LONG_WAIT_MS,
+        wait_ms: int = WATCH_TIMEOUT_MS,
     ) -> Changes:
         """Wait for changes."""
         await self.there(0)
--- a/standin/store.py
+++ b/standin/store.py
@@ -14,8 +14,8 @@
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.store import (
     ABSENT,
-    LONG_WAIT_MS,
     MAX_VALUE_BYTES,
+    WATCH_TIMEOUT_MS,
     Changes,
     StoredObject,
 )
@@ -137,7 +137,7 @@
         self,
         prefix: str,
         revision: int,
-        wait_ms: int = LONG_WAIT_MS,
+        wait_ms: int = WATCH_TIMEOUT_MS,
     ) -> Changes:
         """Wait a bounded time for changes."""
         await self.before()
--- a/standin/virtual/edges.py
+++ b/standin/virtual/edges.py
@@ -8,7 +8,7 @@
 from pollenwalk.connection.wire import Answer, Tokens
 from pollenwalk.errors import PollenwalkError, StoreUnavailable
 from pollenwalk.process.clock import MS_PER_SECOND
-from pollenwalk.process.store import LONG_WAIT_MS, Changes, StoredObject
+from pollenwalk.process.store import WATCH_TIMEOUT_MS, Changes, StoredObject
 from standin.engine import ModelEngine
 from standin.service import PlainService
 from standin.store import MemoryStore
@@ -85,7 +85,7 @@
         self,
         prefix: str,
         revision: int,
-        wait_ms: int = LONG_WAIT_MS,
+        wait_ms: int = WATCH_TIMEOUT_MS,
     ) -> Changes:
         """Wait for changes."""
         self.reads += 1
--- a/test/platform/test_templates.py
+++ b/test/platform/test_templates.py
@@ -40,7 +40,7 @@
         for role, entry in deploy['roles'].items():
             template = (DEPLOY.parent / entry['template']).read_text()
             settings = parse_settings(fill_in(template, VALUES), role, role)
-            own = settings.of(role)
+            own = settings.section(role)
             self.assertEqual('front-1', own['name'])
             self.assertEqual(2, own['tolerated_losses'])
             self.assertEqual(ZONES, settings.regions)
@@ -51,11 +51,11 @@
         template = (DEPLOY / 'gateway.ini').read_text()
         text = fill_in(template, {**VALUES, 'bounds.grace_s': '8.5'})
         settings = parse_settings(text, 'gateway', 'gateway')
-        self.assertEqual(8.5, settings.of('gateway')['grace_s'])
+        self.assertEqual(8.5, settings.section('gateway')['grace_s'])
 
     def test_bounds_of_the_platform_go_before_ours(self) -> None:
         template = (DEPLOY / 'gateway.ini').read_text()
-        own = parse_settings(fill_in(template, VALUES), 'gateway', 'gateway').of(
+        own = parse_settings(fill_in(template, VALUES), 'gateway', 'gateway').section(
             'gateway'
         )
         self.assertEqual((4000, 5000), (own['change_delay_ms'], own['leave_notice_ms']))
@@ -64,7 +64,7 @@
         given = {name: text for name, text in VALUES.items() if 'ms' not in name}
         template = (DEPLOY / 'gateway.ini').read_text()
         text = fill_in(template, given)
-        own = parse_settings(text, 'gateway', 'gateway').of('gateway')
+        own = parse_settings(text, 'gateway', 'gateway').section('gateway')
         self.assertEqual((3000, 3000), (own['change_delay_ms'], own['leave_notice_ms']))
 
 
--- a/test/process/test_following.py
+++ b/test/process/test_following.py
@@ -7,7 +7,7 @@
 from pollenwalk.errors import StoreHistoryGone
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.following import Follower, Handlers
-from pollenwalk.process.store import LONG_WAIT_MS, Changes, StoredObject
+from pollenwalk.process.store import WATCH_TIMEOUT_MS, Changes, StoredObject
 from standin.store import Faults, MemoryStore
 from test.helper import make_clock, virtual
 
@@ -27,7 +27,7 @@
         self,
         prefix: str,
         revision: int,
-        wait_ms: int = LONG_WAIT_MS,
+        wait_ms: int = WATCH_TIMEOUT_MS,
     ) -> Changes:
         """Wait without an answer; short watches are not stalled."""
         if self.forgetful and revision < self.revision:
--- a/test/process/test_logs.py
+++ b/test/process/test_logs.py
@@ -27,7 +27,7 @@
         self.patch(logs, 'MAX_LINES_PER_SECOND', MANY * 2)
         target = os.fdopen(writer, 'w')
         lines = LineWriter(target)
-        logger.add(lines.put, format='{message}')
+        logger.add(lines.enqueue, format='{message}')
         done = threading.Event()
 
         def work() -> None:
@@ -38,7 +38,7 @@
         threading.Thread(target=work, daemon=True).start()
         self.assertTrue(done.wait(30))
         self.assertTrue(lines.dropped > 0)
-        self.assertTrue(len(lines.waiting) <= logs.MAX_WAITING)
+        self.assertTrue(len(lines.queue) <= logs.MAX_QUEUED_LINES)
         os.close(reader)
 
     def test_the_rate_is_bounded_and_gaps_are_told(self) -> None:
@@ -47,10 +47,10 @@
         seconds = iter([1.0] * 8 + [2.0] * 8)
         self.patch(logs.time, 'monotonic', lambda: next(seconds))
         lines = LineWriter(os.fdopen(writer, 'w'))
-        logger.add(lines.put, format='{message}')
+        logger.add(lines.enqueue, format='{message}')
         for _ in range(9):
             logger.info('sent')
-        lines.drain(5)
+        lines.flush(5)
         written = os.read(reader, 100_000).decode().splitlines()
         events = [json.loads(line) for line in written]
         self.assertEqual(
--- a/test/process/test_settings.py
+++ b/test/process/test_settings.py
@@ -38,7 +38,7 @@
 
     def test_defaults_complete_what_is_given(self) -> None:
         settings = parse_settings(GOOD, 'good.ini', 'entry')
-        self.assertEqual(2, settings.of('entry')['witnesses'])
+        self.assertEqual(2, settings.section('entry')['witnesses'])
         self.assertEqual({'rimouski': 'est'}, settings.regions)
 
     def test_each_error_names_its_place(self) -> None:
--- a/test/process/test_traces.py
+++ b/test/process/test_traces.py
@@ -57,7 +57,7 @@
             writer = set_up_logs('INFO')
             logger.info('entry_ready', incarnation='abc')
             logger.debug('hidden')
-            writer.drain(5)
+            writer.flush(5)
         logger.remove()
         lines = [json.loads(line) for line in target.getvalue().splitlines()]
         self.assertEqual(['entry_ready'], [line['event'] for line in lines])
