--- a/pollenwalk/process/fleet.py
+++ b/pollenwalk/process/fleet.py
@@ -137,7 +137,7 @@
         if host is not None:
             host.report = host.report._replace(leaving=True)
 
-    def set_leaving_addresses(self, addresses: list[str]) -> None:
+    def update_leaving_addresses(self, addresses: list[str]) -> None:
         """Note the hosts that the platform says are leaving, by IP address.
 
         A host that is no longer named is live again.
--- a/pollenwalk/process/host_list.py
+++ b/pollenwalk/process/host_list.py
@@ -22,7 +22,7 @@
     """Send no new work to hosts that the platform says are leaving."""
     while True:
         try:
-            fleet.set_leaving_addresses(await hosts.leaving())
+            fleet.update_leaving_addresses(await hosts.leaving())
         except ConnectionLost as error:
             logger.debug('host_list_silent', reason=error.message)
         await clock.sleep_ms(POLL_MS)
--- a/test/test_broken.py
+++ b/test/test_broken.py
@@ -150,7 +150,7 @@
     Break(
         "the platform's list of hosts is not heeded",
         Fleet,
-        'set_leaving_addresses',
+        'update_leaving_addresses',
         lambda self, addresses: None,
         'host_list_says_leaving',
     ),
