--- a/pollenwalk/process/call_executor.py
+++ b/pollenwalk/process/call_executor.py
@@ -1,4 +1,4 @@
-"""Running calls at the upstream beside a sidecar."""
+"""Execution of calls at the sidecar's upstream host."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -29,7 +29,15 @@
 
 
 class CallExecutor:
-    """The calls of one start of a sidecar, from the queue to their result."""
+    """Runs calls: queues them, sends them upstream and stores their results.
+
+    Attributes:
+        calls: the calls by id.
+        histories: cached histories of programs, for model calls.
+        admission: the queue for the slots of the host.
+        leases: leases on engine memory; None if the upstream is no engine.
+        spec: the declaration of the upstream; None until an entry has sent it.
+    """
 
     def __init__(
         self,
@@ -38,7 +46,14 @@
         tasks: TaskSet,
         tracer: Tracer,
     ) -> None:
-        """Run calls at `upstream`."""
+        """Create an executor for calls to `upstream`.
+
+        Args:
+            upstream: client of the upstream.
+            clock: the process's clock.
+            tasks: gets one background task per call.
+            tracer: records a span for each call to the upstream.
+        """
         self.upstream = upstream
         self.clock = clock
         self.tasks = tasks
@@ -50,14 +65,18 @@
         self.spec: UpstreamSpec | None = None
 
     def start_call(self, message: Dispatch, history: list[HistoryItem]) -> SidecarCall:
-        """Start a call's task."""
+        """Start a call in a background task."""
         call = SidecarCall(message, history)
         self.calls.by_id[message.call] = call
         call.task = self.tasks.spawn(self.run_call(call), 'sidecar_call')
         return call
 
     async def run_call(self, call: SidecarCall) -> None:
-        """Wait for a slot, run the call and keep its result."""
+        """Wait for a slot, run the call and store its result.
+
+        If the task ends in any other way once it has a slot, for instance by
+        cancellation, the call is refused with an unknown outcome.
+        """
         message = call.message
         deadline_ms = self.clock.now_ms() + message.deadline_in_ms
         try:
@@ -79,13 +98,24 @@
                 call.fail(cancelled_refusal(), self.clock.now_ms())
 
     def record_refusal(self, call: SidecarCall, refusal: Refusal) -> None:
-        """Keep a refusal; a call that did not run may be handed over again."""
+        """Store a refusal as the call's result.
+
+        A call that has not run is removed, so that it may be dispatched again.
+        """
         if refusal.outcome == Outcome.NOT_RUN:
             self.calls.by_id.pop(call.message.call, None)
         call.fail(refusal, self.clock.now_ms())
 
     async def run_with_timeout(self, call: SidecarCall, deadline_ms: float) -> None:
-        """Run a call at the upstream, in its time."""
+        """Run a call at the upstream within its deadline and the declared timeout.
+
+        Args:
+            call: the call.
+            deadline_ms: deadline of the call, on the process's clock.
+
+        Raises:
+            Refusal: the time is up, or the upstream failed.
+        """
         left_ms = deadline_ms - self.clock.now_ms()
         limit_ms = min(left_ms, float(self.spec.timeout_ms))
         with self.tracer.span('upstream', call.message.trace):
@@ -98,7 +128,7 @@
         call.finish(answer, self.clock.now_ms())
 
     async def invoke(self, call: SidecarCall) -> Answer:
-        """Run a model call or a plain one."""
+        """Run a model call at an engine, or an operation of a plain service."""
         if self.leases is not None:
             return await self.run_chat(call)
         message = call.message
@@ -110,7 +140,7 @@
         return Answer(output)
 
     async def run_chat(self, call: SidecarCall) -> Answer:
-        """Run a model call and keep the history beside its engine."""
+        """Run a model call under a memory lease and cache the new history."""
         message = call.message
         self.leases.begin_call(message.program)
         try:
@@ -121,7 +151,12 @@
         return answer
 
     async def stream_chat(self, call: SidecarCall) -> Answer:
-        """Stream from the engine, resuming when the stream is cut."""
+        """Stream the engine's answer, resuming the stream if it is interrupted.
+
+        Raises:
+            Refusal: the engine refused, or all RESUME_ATTEMPTS streams were
+                interrupted.
+        """
         prompt = [
             *call.history,
             HistoryItem('user', str(call.message.argument.get('message', ''))),
@@ -138,21 +173,25 @@
             try:
                 answer = await self.forward_stream(source, call)
             except ConnectionLost as error:
-                logger.info('engine_stream_cut', reason=error.message)
+                logger.info('engine_stream_interrupted', reason=error.message)
             else:
                 return complete_answer(call, answer)
             await self.clock.sleep_ms(RESUME_DELAY_MS)
             source = self.upstream.resume(request.call, len(call.stream.texts))
         raise Refusal(
             RefusalCode.UPSTREAM_FAILED,
-            'the engine does not answer',
+            'the engine gave no complete answer, even after resuming the stream',
             Outcome.UNKNOWN,
         )
 
     async def forward_stream(
         self, source: AsyncIterator[Any], call: SidecarCall
     ) -> Answer:
-        """Pass an engine's stream on to the followers."""
+        """Append the engine's tokens to the call's stream and return its answer.
+
+        Raises:
+            ConnectionLost: the stream ended without an answer.
+        """
         async for item in source:
             if isinstance(item, Tokens):
                 call.stream.append(item)
@@ -161,23 +200,23 @@
         raise ConnectionLost('the engine ended its stream without an answer')
 
     async def cancel_at_engine(self, call: SidecarCall) -> None:
-        """Stop the engine's work on a call that nobody waits for."""
+        """Ask the engine to stop generating for a call; does nothing at a service."""
         if self.leases is None:
             return
         try:
             await self.upstream.cancel(call.message.call)
         except PollenwalkError as error:
-            logger.warning('cancel_lost', reason=error.message)
+            logger.warning('engine_cancel_failed', reason=error.message)
 
     async def cancel_program(self, program: str) -> None:
-        """Stop the calls of a program that may be stopped."""
+        """Stop the idempotent calls of a program; others run to their end."""
         for call in list(self.calls.by_id.values()):
             message = call.message
             if message.program == program and message.idempotent:
                 await self.stop_call(call)
 
     async def stop_call(self, call: SidecarCall) -> None:
-        """Stop a call that may be repeated."""
+        """Cancel a running call, which must be idempotent, and remove it."""
         if call.ended_ms or call.task is None:
             return
         await self.cancel_at_engine(call)
@@ -187,18 +226,18 @@
 
 
 def is_engine(upstream: Engine | Service) -> bool:
-    """Tell a model engine from a plain service."""
+    """Return whether the upstream is a model engine, not a plain service."""
     return hasattr(upstream, 'chat')
 
 
 def complete_answer(call: SidecarCall, answer: Answer) -> Answer:
-    """Put together what came before and after a cut."""
+    """Return the answer with all tokens of the call, from every resumed stream."""
     texts = call.stream.texts
     return answer._replace(output={'text': ''.join(texts)}, tokens=len(texts))
 
 
 def deadline_refusal() -> Refusal:
-    """Refuse a call that took too long at the upstream."""
+    """Return the refusal for a call whose time ran out at the upstream."""
     return Refusal(
         RefusalCode.DEADLINE,
         'the upstream did not answer in time',
@@ -207,7 +246,7 @@
 
 
 def cancelled_refusal() -> Refusal:
-    """Describe a call whose task was ended."""
+    """Return the refusal for a call whose task ended without a result."""
     return Refusal(
         RefusalCode.CANCELLED,
         'the call was cancelled',
--- a/pollenwalk/process/memory_leases.py
+++ b/pollenwalk/process/memory_leases.py
@@ -1,7 +1,8 @@
-"""Leases on engine memory, so that ended programs hold none.
+"""Leases on engine memory, so that ended programs do not occupy it.
 
-Homes renew in batches. What the engine holds without a lease, after a restart
-of the sidecar or a lost message, is returned once its lease has lapsed.
+Owners renew the leases of their programs in batches. A program that the engine
+holds memory for without a lease (the sidecar restarted, or a message was lost)
+gets one lease; if it is not renewed, the memory is freed when it expires.
 """
 
 from loguru import logger
@@ -15,40 +16,47 @@
 
 
 class MemoryLeases:
-    """Which programs may hold memory of one engine."""
+    """The leases of programs on the memory of one engine.
+
+    Attributes:
+        expires_ms: when each program's lease expires, on the process's clock.
+        running_calls: number of running calls by program; programs without
+            one are left out.
+    """
 
     def __init__(self, engine: Engine, clock: Clock) -> None:
-        """Start with no lease."""
+        """Create an empty set of leases for `engine`."""
         self.engine = engine
         self.clock = clock
         self.expires_ms: dict[str, float] = {}
         self.running_calls: dict[str, int] = {}
 
     def renew(self, program: str) -> None:
-        """Grant or renew a program's lease."""
+        """Grant a program a lease of LEASE_MS, or renew it."""
         self.expires_ms[program] = self.clock.now_ms() + LEASE_MS
 
     def expire(self, program: str) -> None:
-        """Let a program's lease lapse now."""
+        """Make a program's lease expire now."""
         self.expires_ms[program] = self.clock.now_ms()
 
     def begin_call(self, program: str) -> None:
-        """Keep a program's memory while a call of it runs."""
+        """Count a running call, which protects its program's memory."""
         self.running_calls[program] = self.running_calls.get(program, 0) + 1
         self.renew(program)
 
     def end_call(self, program: str) -> None:
-        """Note that a call of a program has ended."""
+        """Stop counting a call that has ended."""
         self.running_calls[program] -= 1
         if not self.running_calls[program]:
             self.running_calls.pop(program)
 
     async def release(self, program: str) -> None:
-        """Return a program's memory now.
+        """Expire a program's lease and free its memory if no call of it runs.
+
+        Memory that is not freed now is freed later by `reclaim_expired`.
 
         Raises:
-            ConnectionLost: the engine did not answer; the lapsed lease makes
-                sure that it is asked again.
+            ConnectionLost: the engine did not answer.
         """
         self.expire(program)
         if program in self.running_calls:
@@ -57,16 +65,23 @@
         self.expires_ms.pop(program, None)
 
     async def reclaim_periodically(self) -> None:
-        """Return what is held without a lease, as long as the process lives."""
+        """Free memory without a valid lease periodically, until cancelled."""
         while True:
             try:
                 await self.reclaim_expired()
             except (ConnectionLost, Refusal) as error:
-                logger.warning('engine_silent', reason=error.message)
+                logger.warning('memory_reclaim_failed', reason=error.message)
             await self.clock.sleep_ms(CHECK_INTERVAL_MS)
 
     async def reclaim_expired(self) -> None:
-        """Compare the engine's own list with the leases."""
+        """Free the memory of programs that the engine holds beyond their lease.
+
+        A program without a lease is given one first.
+
+        Raises:
+            ConnectionLost: the engine did not answer.
+            Refusal: the engine's list could not be read.
+        """
         now_ms = self.clock.now_ms()
         for program in sorted(await self.engine.held()):
             lease_ms = self.expires_ms.setdefault(program, now_ms + LEASE_MS)
--- a/pollenwalk/process/sidecar.py
+++ b/pollenwalk/process/sidecar.py
@@ -1,4 +1,4 @@
-"""The process beside an upstream host: the only one that talks to it."""
+"""The sidecar process: runs next to one upstream host and makes all calls to it."""
 
 import random
 from typing import NamedTuple
@@ -37,15 +37,17 @@
 
 
 class SidecarSettings(NamedTuple):
-    """Where a sidecar runs and what it stands beside.
+    """Settings of one sidecar.
 
     Attributes:
-        sidecar: its id, the same after a restart.
-        upstream: the declared upstream it belongs to.
-        address: `ip:port` for entries, TCP and UDP.
-        zone: its availability zone.
-        entries: `ip:port` of entries to report to at first.
-        coalesce_ms: how long tokens may wait for company.
+        sidecar: id of the sidecar, the same after a restart.
+        upstream: name of the declared upstream that its host belongs to.
+        address: `ip:port` where entries connect, TCP and UDP.
+        zone: availability zone of the host.
+        entries: `ip:port` of the entries to report to at first; their replies
+            name the others.
+        coalesce_ms: maximum time in ms that tokens are buffered so that
+            several can be sent in one message.
     """
 
     sidecar: str
@@ -57,7 +59,7 @@
 
 
 class Sidecar:
-    """One start of a sidecar."""
+    """A running sidecar, from one start of its process to its end."""
 
     def __init__(
         self,
@@ -68,7 +70,7 @@
         dice: random.Random,
         tracer: Tracer,
     ) -> None:
-        """Stand beside `upstream`; nothing is started yet."""
+        """Create a sidecar for `upstream` without starting it."""
         self.settings = settings
         self.network = network
         self.clock = clock
@@ -91,7 +93,7 @@
         self.listeners: list[Listener] = []
 
     async def start(self) -> None:
-        """Listen and begin to report."""
+        """Listen for entries and start the background tasks."""
         address = self.settings.address
         self.listeners = [
             await self.network.listen(address, self.server.serve),
@@ -103,7 +105,11 @@
             self.tasks.spawn(self.executor.leases.reclaim_periodically(), 'grants')
 
     async def stop(self) -> None:
-        """Stop gracefully: refuse new calls, end those in progress."""
+        """Stop gracefully: refuse new calls and let the running ones finish.
+
+        Reports at once that the host is leaving. Waits at most STOP_TIMEOUT_MS
+        for running calls and for answers that are still being read.
+        """
         self.leaving = True
         self.send_report()
         until_ms = self.clock.now_ms() + STOP_TIMEOUT_MS
@@ -113,21 +119,21 @@
         await self.close()
 
     def has_open_calls(self) -> bool:
-        """Tell whether a call runs or its answer is still being read."""
+        """Return whether a call is running or its answer is still being read."""
         return any(
             not call.ended_ms or call.stream.followers
             for call in self.executor.calls.by_id.values()
         )
 
     async def close(self) -> None:
-        """End everything at once."""
+        """Cancel all tasks and close all connections immediately."""
         await self.tasks.cancel()
         await self.server.close()
         for listener in self.listeners:
             await listener.close()
 
     async def sweep(self) -> None:
-        """Stop orphan calls and forget old ones."""
+        """Periodically stop orphaned calls and drop expired results."""
         while True:
             await self.clock.sleep_ms(SWEEP_INTERVAL_MS)
             self.executor.calls.drop_expired()
@@ -136,7 +142,11 @@
                     await self.executor.stop_call(call)
 
     def is_orphan(self, call: SidecarCall) -> bool:
-        """Tell whether a repeatable call has long had no follower."""
+        """Return whether a running idempotent call has lost all its followers.
+
+        True once it has had none for more than ORPHAN_TIMEOUT_MS. Updates
+        `call.unfollowed_since_ms`.
+        """
         if call.stream.followers or call.ended_ms or not call.message.idempotent:
             call.unfollowed_since_ms = None
             return False
@@ -146,13 +156,13 @@
         return now_ms - call.unfollowed_since_ms > ORPHAN_TIMEOUT_MS
 
     async def report_periodically(self) -> None:
-        """Report the load for as long as the process lives."""
+        """Report the load to the entries periodically, until cancelled."""
         while True:
             self.send_report()
             await self.clock.sleep_ms(self.report_interval_ms)
 
     def send_report(self) -> None:
-        """Send one report to each entry."""
+        """Send a load report to each entry known to this sidecar."""
         self.report_number += 1
         settings = self.settings
         report = Report(
@@ -174,16 +184,17 @@
             self.network.send_datagram(settings.address, address, payload)
 
     def report_addresses(self) -> list[str]:
-        """Give whom to report to; now and then also the first entries.
+        """Return the addresses of the entries that get the current report.
 
-        All that were named since may have been replaced meanwhile.
+        Every SEED_REPORT_EVERY-th report also goes to the entries from the
+        settings, because all entries learned since then may have been replaced.
         """
         if self.report_number % SEED_REPORT_EVERY:
             return self.entries
         return list(dict.fromkeys([*self.entries, *self.settings.entries]))
 
     def handle_datagram(self, payload: bytes, sender: str) -> None:
-        """Take an entry's reply to a report; noise is dropped."""
+        """Apply a datagram from an entry; drop one that can't be decoded."""
         try:
             message = decode_datagram(payload)
         except Refusal as refusal:
@@ -197,7 +208,7 @@
             self.apply_config(message)
 
     def apply_config(self, message: UpstreamConfig) -> None:
-        """Put a newer declaration in force."""
+        """Apply a declaration of this sidecar's upstream if it is newer."""
         if message.name != self.settings.upstream:
             return
         if message.version <= self.spec_version:
--- a/pollenwalk/process/sidecar_calls.py
+++ b/pollenwalk/process/sidecar_calls.py
@@ -1,4 +1,4 @@
-"""The calls that a sidecar runs, and the record of those it has run."""
+"""The calls of a sidecar: running ones, and finished ones until they are settled."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -13,10 +13,21 @@
 
 
 class SidecarCall:
-    """A call with this sidecar, running or ended."""
+    """One call at this sidecar, running or ended.
+
+    Attributes:
+        message: the dispatch that the call was started from.
+        history: the program's history before a model call; empty for others.
+        stream: the tokens generated so far.
+        ended_ms: when the call ended, on the process's clock; 0 while it runs.
+        unfollowed_since_ms: when the sweep first found the call running
+            without a follower; None if it has one or may not be repeated.
+        result: the answer, or the refusal as an exception.
+        task: the task that runs the call.
+    """
 
     def __init__(self, message: Dispatch, history: list[HistoryItem]) -> None:
-        """Start without a result."""
+        """Create a call that has no result and no task yet."""
         self.message = message
         self.history = history
         self.stream = TokenStream()
@@ -27,18 +38,18 @@
 
     @property
     def failed(self) -> bool:
-        """Tell whether the call has ended without an answer."""
+        """Return whether the call has ended with a refusal."""
         return self.result.done() and self.result.exception() is not None
 
     def finish(self, answer: Answer, now_ms: float) -> None:
-        """Keep the answer."""
+        """Store the answer and end the token stream."""
         self.ended_ms = now_ms
         if not self.result.done():
             self.result.set_result(answer)
         self.stream.end()
 
     def fail(self, refusal: Refusal, now_ms: float) -> None:
-        """Keep the refusal."""
+        """Store the refusal as the result and end the token stream."""
         self.ended_ms = now_ms
         if not self.result.done():
             self.result.set_exception(refusal)
@@ -46,35 +57,43 @@
         self.stream.end()
 
     async def follow(self, offset: int) -> AsyncIterator[Tokens | Answer]:
-        """Give the tokens from an offset on and the result."""
+        """Yield the tokens from an offset on, then the answer.
+
+        Raises:
+            Refusal: the call ended without an answer.
+        """
         async for tokens in self.stream.follow(offset):
             yield tokens
         yield await asyncio.shield(self.result)
 
 
 class EpochFence:
-    """Which connections may still hand calls over.
+    """Rejects dispatches that arrive on replaced or sealed connections.
 
-    A home that connects again closes its older connections here, and a
-    successor's question closes a sealed incarnation for good. So a call that
-    was not seen before such a question can't be seen after it.
+    When an owner reconnects, its older connections become stale. When a
+    successor asks about a call of a sealed incarnation, all connections of that
+    incarnation become stale permanently. So a call that this sidecar did not
+    know when the successor asked can't be accepted afterwards.
+
+    Attributes:
+        min_epochs: the lowest epoch that is still accepted, by incarnation.
     """
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create a fence that accepts every connection."""
         self.min_epochs: dict[str, float] = {}
 
     def advance(self, incarnation: str, epoch: int) -> None:
-        """Note a connection's epoch; older ones become stale."""
+        """Raise the lowest accepted epoch of an incarnation to `epoch`."""
         known = self.min_epochs.get(incarnation, 0)
         self.min_epochs[incarnation] = max(known, epoch)
 
     def seal(self, incarnation: str) -> None:
-        """Take nothing more from a sealed incarnation."""
+        """Reject all further dispatches of a sealed incarnation."""
         self.min_epochs[incarnation] = SEALED_EPOCH
 
     def check(self, incarnation: str, epoch: int) -> None:
-        """Check a connection before it hands a call over.
+        """Check the connection that a dispatch arrived on.
 
         Raises:
             Refusal: the connection is stale.
@@ -82,35 +101,38 @@
         if epoch < self.min_epochs.get(incarnation, 0):
             raise Refusal(
                 RefusalCode.STALE_SESSION,
-                'a later connection or a successor has replaced this one',
+                'connection replaced by a later one or sealed by a successor',
             )
 
 
 class CallTable:
-    """All calls of one start of a sidecar."""
+    """The calls that a sidecar has had since it started, by id.
+
+    Finished calls stay until they are settled or their retention expires.
+    """
 
     def __init__(self, clock: Clock) -> None:
-        """Start empty."""
+        """Create an empty table."""
         self.clock = clock
         self.by_id: dict[str, SidecarCall] = {}
 
     def find(self, call_id: str) -> SidecarCall:
-        """Give a call that this sidecar has.
+        """Return the call with this id.
 
         Raises:
-            Refusal: it has none of that id, or no longer.
+            Refusal: the call is unknown here, or has been dropped.
         """
         call = self.by_id.get(call_id)
         if call is None:
             raise Refusal(
                 RefusalCode.UNKNOWN_CALL,
-                'no such call here',
+                'this sidecar has no call with this id',
                 Outcome.UNKNOWN,
             )
         return call
 
     def drop_expired(self) -> None:
-        """Forget calls that ended long ago and were never settled."""
+        """Drop calls that ended over FINISHED_RETENTION_MS ago and are not settled."""
         limit_ms = self.clock.now_ms() - FINISHED_RETENTION_MS
         self.by_id = {
             call_id: call
--- a/pollenwalk/process/sidecar_histories.py
+++ b/pollenwalk/process/sidecar_histories.py
@@ -1,4 +1,4 @@
-"""Histories kept beside the engine, so that a turn sends only what is new."""
+"""Program histories cached at the sidecar, so that a dispatch sends only the delta."""
 
 from pollenwalk.connection.wire import Answer, Dispatch, HistoryItem
 from pollenwalk.errors import Refusal, RefusalCode
@@ -8,20 +8,27 @@
 
 
 class SidecarHistories:
-    """The histories of the programs whose prefix the engine may hold."""
+    """An LRU cache of program histories.
+
+    It covers the programs whose prompt prefix the engine may have cached.
+
+    Attributes:
+        histories: by program id, the least recently used one first.
+    """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty cache."""
         self.histories: dict[str, History] = {}
 
     def merge(self, message: Dispatch) -> list[HistoryItem] | None:
-        """Join a dispatch's delta to what is here.
+        """Append a dispatch's delta to the cached history of its program.
 
         Returns:
-            The whole history; None when the base of the delta is not here.
+            The whole history, or None if the cache does not have the history
+            that the delta is based on.
 
         Raises:
-            Refusal: the joined history is not the one the home has.
+            Refusal: the result differs from the owner's history.
         """
         history = self.histories.pop(message.program, None)
         if message.base == ROOT:
@@ -29,36 +36,40 @@
         if history is None or message.base not in history.digests:
             return None
         if history.digest != message.base:
-            # The home never recorded what this sidecar kept of a lost call.
+            # The owner never recorded a call whose answer was lost on the way;
+            # drop what was cached of it.
             history = self.truncate(history, message.base)
         history.extend(message.delta)
         if history.digest != message.digest:
             raise Refusal(
                 RefusalCode.PROTOCOL,
-                'the history does not match its digest',
+                'program history does not match the digest in the dispatch',
             )
         self.histories[message.program] = history
         self.evict_excess()
         return list(history.entries)
 
     def truncate(self, history: History, digest: str) -> History:
-        """Give the history up to a digest."""
+        """Return a copy of the history that ends at `digest`."""
         position = history.digests.index(digest)
         shorter = History()
         shorter.extend(history.entries[:position])
         return shorter
 
     def append_turn(self, message: Dispatch, answer: Answer) -> None:
-        """Add what an ended call adds, as the home will."""
+        """Append the entries of a finished call, just as the owner will do.
+
+        Does nothing unless the cached history is the one the call was based on.
+        """
         history = self.histories.get(message.program)
         if history is not None and history.digest == message.digest:
             history.extend(chat_entries(message.argument, answer))
 
     def drop(self, program: str) -> None:
-        """Forget a program."""
+        """Drop the history of a program."""
         self.histories.pop(program, None)
 
     def evict_excess(self) -> None:
-        """Forget the programs that have not been used for longest."""
+        """Evict the least recently used histories above MAX_PROGRAMS."""
         while len(self.histories) > MAX_PROGRAMS:
             self.histories.pop(next(iter(self.histories)))
--- a/pollenwalk/process/sidecar_service.py
+++ b/pollenwalk/process/sidecar_service.py
@@ -1,4 +1,4 @@
-"""What a sidecar answers to entries and operators."""
+"""Handlers for the requests that entries and operators send to a sidecar."""
 
 from collections.abc import AsyncIterator, Callable
 from typing import Any, Protocol
@@ -26,12 +26,12 @@
 
 
 class SidecarInterface(Protocol):
-    """A sidecar, as the answers to its peers see it.
+    """The part of a sidecar that the request handlers use.
 
     Attributes:
-        boot_id: of this start.
-        leaving: whether it takes no new calls.
-        work: its calls.
+        boot_id: id of this start of the process.
+        leaving: whether new calls are refused.
+        executor: runs the calls.
     """
 
     boot_id: str
@@ -39,29 +39,42 @@
     executor: CallExecutor
 
     def send_report(self) -> None:
-        """Send one report to each entry."""
+        """Send a load report to each entry known to this sidecar."""
 
 
 class SidecarService:
-    """Answers peers for one start of a sidecar."""
+    """Handles the requests to a sidecar."""
 
     def __init__(self, sidecar: SidecarInterface) -> None:
-        """Answer for `sidecar`."""
+        """Handle requests on behalf of `sidecar`."""
         self.sidecar = sidecar
         self.executor = sidecar.executor
         self.epoch_fence = EpochFence()
 
     async def handle(self, hello: Hello, message: Any) -> AsyncIterator[Any]:
-        """Answer one question of an entry."""
+        """Handle one request and yield its replies.
+
+        Args:
+            hello: the first message of the connection.
+            message: the request.
+
+        Raises:
+            Refusal: the request is refused, or no handler takes its type.
+        """
         self.epoch_fence.advance(hello.incarnation, hello.epoch)
-        answer = HANDLERS.get(type(message))
-        if answer is None:
+        handler = HANDLERS.get(type(message))
+        if handler is None:
             raise Refusal(RefusalCode.PROTOCOL, f'unexpected {type(message)}')
-        async for item in answer(self, hello, message):
+        async for item in handler(self, hello, message):
             yield item
 
     async def dispatch(self, hello: Hello, message: Dispatch) -> AsyncIterator[Any]:
-        """Take a call over, or attach to the one already here."""
+        """Start a call, or attach to it if it is already here.
+
+        An idempotent call that has failed is started again. Yields the tokens
+        and the answer, or NeedHistory if the history that the delta is based
+        on is missing.
+        """
         self.epoch_fence.check(hello.incarnation, hello.epoch)
         self.check_boot_id(message.boot_id, Outcome.NOT_RUN)
         call = self.executor.calls.by_id.get(message.call)
@@ -78,23 +91,23 @@
             yield self.with_load(item)
 
     def with_load(self, item: Tokens | Answer) -> Tokens | Answer:
-        """Let an answer tell how many calls are still here."""
+        """Add the number of running and queued calls to an answer."""
         if isinstance(item, Tokens):
             return item
         ahead = self.executor.admission.running + len(self.executor.admission.waiting)
         return item._replace(ahead=ahead)
 
     def check_boot_id(self, boot_id: str, outcome: Outcome) -> None:
-        """Refuse what was meant for an earlier start of this sidecar."""
+        """Refuse a request that was meant for an earlier start of this sidecar."""
         if boot_id != self.sidecar.boot_id:
             raise Refusal(
                 RefusalCode.STALE_SESSION,
-                'this sidecar has restarted',
+                'sidecar restarted; the request names an earlier start',
                 outcome,
             )
 
     def check_accepting(self) -> None:
-        """Refuse new calls while leaving or without a declaration."""
+        """Refuse new calls if the host is leaving or has no declaration yet."""
         if self.sidecar.leaving:
             raise Refusal(
                 RefusalCode.STOPPING,
@@ -109,13 +122,17 @@
             )
 
     async def follow(self, hello: Hello, message: Follow) -> AsyncIterator[Any]:
-        """Attach to a call."""
+        """Attach to a call and yield its tokens from an offset on, then its answer."""
         self.check_boot_id(message.boot_id, Outcome.UNKNOWN)
         async for item in self.executor.calls.find(message.call).follow(message.offset):
             yield item
 
     async def resolve(self, hello: Hello, message: Resolve) -> AsyncIterator[Any]:
-        """Tell what became of a call, and see to it that this stays so."""
+        """Report the state of a call: 'done', 'running' or 'not_run'.
+
+        If the request names a sealed incarnation, its later dispatches are
+        rejected, so that 'not_run' stays true.
+        """
         self.check_boot_id(message.boot_id, Outcome.UNKNOWN)
         if message.fence:
             self.epoch_fence.seal(message.fence)
@@ -126,7 +143,7 @@
             yield Resolution('done' if call.ended_ms else 'running')
 
     async def settle(self, hello: Hello, message: Settle) -> AsyncIterator[Any]:
-        """Drop calls whose results are durable elsewhere."""
+        """Drop ended calls whose results the owner has made durable."""
         for call_id in message.calls:
             call = self.executor.calls.by_id.get(call_id)
             if call is not None and call.ended_ms:
@@ -134,14 +151,14 @@
         yield Done()
 
     async def renew(self, hello: Hello, message: Renew) -> AsyncIterator[Any]:
-        """Renew leases on engine memory."""
+        """Renew the leases of programs on engine memory."""
         if self.executor.leases is not None:
             for program in message.programs:
                 self.executor.leases.renew(program)
         yield Done()
 
     async def release(self, hello: Hello, message: Release) -> AsyncIterator[Any]:
-        """Cancel what ended programs run and return their memory."""
+        """Cancel the idempotent calls of ended programs and free their memory."""
         for program in message.programs:
             await self.executor.cancel_program(program)
             self.executor.histories.drop(program)
@@ -150,7 +167,7 @@
         yield Done()
 
     async def drain(self, hello: Hello, message: Drain) -> AsyncIterator[Any]:
-        """Take no new calls from now on."""
+        """Refuse new calls from now on and report that the host is leaving."""
         self.sidecar.leaving = True
         self.sidecar.send_report()
         yield Done()
