--- a/pollenwalk/process/acceptance.py
+++ b/pollenwalk/process/acceptance.py
@@ -1,8 +1,9 @@
-"""Accepting declared resources, once and for all entries.
+"""Acceptance of the resources that operators declare.
 
-What operators write below `resources/` is a wish. An entry checks it and
-writes the verdict below `accepted/` by a conditional update, so the entries
-agree on it; what has been accepted stays in force whatever the wish becomes.
+Operators write desired resources below `resources/`. One entry validates each
+and writes its acceptance status below `accepted/` by a conditional update, so
+that all entries agree on it. What has been accepted stays in force until a
+later version is accepted, even if the desired resource becomes invalid.
 """
 
 from collections.abc import Callable
@@ -34,7 +35,7 @@
 
 
 class DesiredResource(NamedTuple):
-    """A resource as an operator wrote it; no keys means delete it."""
+    """A resource as an operator wrote it; `keys` is None to delete it."""
 
     kind: str
     name: str
@@ -42,15 +43,15 @@
 
 
 class AcceptanceStatus(NamedTuple):
-    """What became of a wish.
+    """Whether a desired resource was accepted, and what is in force.
 
     Attributes:
-        kind: the resource's kind.
-        name: the resource's name.
-        observed: version of the last wish that was looked at.
-        version: version of the wish that is in force.
-        spec: what is in force; None when it was deleted.
-        reason: why the last wish was refused; empty when it was accepted.
+        kind: kind of the resource.
+        name: name of the resource.
+        observed: version of the desired resource that was evaluated last.
+        version: version of the desired resource that is in force; 0 if none is.
+        spec: the spec that is in force; None if the resource is deleted.
+        reason: why the observed version was refused; empty if it was accepted.
     """
 
     kind: str
@@ -62,11 +63,11 @@
 
 
 class KnownStatus(NamedTuple):
-    """What is remembered of a verdict.
+    """What is remembered of an acceptance status.
 
     Attributes:
-        version: of the verdict's object.
-        observed: version of the wish it was about.
+        version: store version of the status object.
+        observed: version of the desired resource that it is about.
     """
 
     version: int
@@ -78,17 +79,24 @@
 
 
 def desired_key(resource_id: ResourceId) -> str:
-    """Name the object of a wish."""
+    """Return the store key of a desired resource."""
     return f'{DESIRED_PREFIX}{resource_id.kind}/{resource_id.name}'
 
 
 def status_key(resource_id: ResourceId) -> str:
-    """Name the object of a verdict."""
+    """Return the store key of an acceptance status."""
     return f'{STATUS_PREFIX}{resource_id.kind}/{resource_id.name}'
 
 
 class AcceptanceController:
-    """Follows wishes and verdicts for one entry."""
+    """Evaluates desired resources and applies acceptance statuses for one entry.
+
+    Attributes:
+        statuses: the known acceptance statuses, by key.
+        desired_versions: last seen version of each desired resource, by key.
+        pending: desired resources that are not evaluated yet, by key.
+        synced: whether all acceptance statuses have been read once.
+    """
 
     def __init__(
         self,
@@ -96,7 +104,7 @@
         clock: Clock,
         config: Configuration,
     ) -> None:
-        """Put verdicts in force in `config`."""
+        """Create a controller that applies accepted resources to `config`."""
         self.store = store
         self.clock = clock
         self.config = config
@@ -106,7 +114,7 @@
         self.synced = False
 
     async def follow_statuses(self) -> None:
-        """Keep the configuration current for as long as the process lives."""
+        """Follow the acceptance statuses and apply them, until cancelled."""
         await follow(
             self.store,
             self.clock,
@@ -116,11 +124,11 @@
         )
 
     def mark_synced(self) -> None:
-        """Note that the verdicts have been read."""
+        """Record that the acceptance statuses have been read."""
         self.synced = True
 
     def apply_status(self, stored: StoredObject) -> None:
-        """Put a verdict in force unless a newer one is."""
+        """Apply an acceptance status unless one as recent is already known."""
         known = self.statuses.get(stored.key)
         if not stored.body or (known and known.version >= stored.version):
             return
@@ -140,23 +148,27 @@
             )
 
     async def follow_desired_resources(self) -> None:
-        """Follow what operators write for as long as the process lives."""
+        """Follow the desired resources, until cancelled."""
         await follow(self.store, self.clock, DESIRED_PREFIX, self.record_desired)
 
     async def evaluate_desired_resources(
         self, is_responsible: Callable[[], bool]
     ) -> None:
-        """Judge wishes while `is_ours()` says that this entry should."""
+        """Evaluate pending desired resources periodically, until cancelled.
+
+        Args:
+            is_responsible: returns whether this entry is the one that evaluates.
+        """
         while True:
             try:
                 if is_responsible():
                     await self.evaluate_pending()
             except StoreUnavailable as error:
-                logger.info('judging_put_off', reason=error.message)
+                logger.info('evaluation_postponed', reason=error.message)
             await self.clock.sleep_ms(EVALUATION_INTERVAL_MS)
 
     def record_desired(self, stored: StoredObject) -> None:
-        """Note a wish; only its version is kept once it has been judged."""
+        """Record a desired resource; keep its body only until it is evaluated."""
         if self.desired_versions.get(stored.key, 0) >= stored.version:
             return
         self.desired_versions[stored.key] = stored.version
@@ -164,7 +176,10 @@
             self.pending[stored.key] = stored
 
     async def evaluate_pending(self) -> None:
-        """Judge what no verdict has looked at; upstreams go first."""
+        """Evaluate the pending desired resources, programs last.
+
+        Programs refer to upstreams, which must be accepted first.
+        """
         order = sorted(
             self.pending.values(),
             key=lambda stored: (Kind.PROGRAM in stored.key, stored.key),
@@ -173,13 +188,17 @@
             await self.evaluate(stored)
 
     def is_evaluated(self, stored: StoredObject) -> bool:
-        """Tell whether a verdict has looked at this wish."""
+        """Return whether this version of a desired resource was evaluated."""
         key = stored.key.replace(DESIRED_PREFIX, STATUS_PREFIX, 1)
-        judged = self.statuses.get(key)
-        return judged is not None and judged.observed >= stored.version
+        known = self.statuses.get(key)
+        return known is not None and known.observed >= stored.version
 
     async def evaluate(self, stored: StoredObject) -> None:
-        """Check one wish and write the verdict."""
+        """Validate one desired resource and write its acceptance status.
+
+        Raises:
+            StoreUnavailable: the store did not answer.
+        """
         key = stored.key.replace(DESIRED_PREFIX, STATUS_PREFIX, 1)
         present = await self.store.get(key)
         if present is not None:
@@ -192,7 +211,7 @@
         try:
             written = await self.store.put(key, body, version)
         except StoreConflict:
-            # Another entry was faster; its verdict comes with the watch.
+            # Another entry was faster; its status arrives through the watch.
             return
         self.apply_status(StoredObject(key, body, written))
         logger.info('resource_judged', key=key, reason=status.reason)
@@ -202,15 +221,22 @@
         stored: StoredObject,
         present: StoredObject | None,
     ) -> AcceptanceStatus:
-        """Decide on a wish; a refused one leaves in force what is."""
+        """Return the acceptance status of a desired resource.
+
+        A refusal leaves the version and spec that are in force unchanged.
+
+        Args:
+            stored: the desired resource.
+            present: the stored acceptance status; None if there is none yet.
+        """
         kind, name = stored.key.removeprefix(DESIRED_PREFIX).split('/', 1)
-        before = AcceptanceStatus(kind, name, 0, 0, None, '')
+        previous = AcceptanceStatus(kind, name, 0, 0, None, '')
         if present is not None:
-            before = STATUS_DECODER.decode(present.body)
+            previous = STATUS_DECODER.decode(present.body)
         spec, reason = self.validate(stored)
         if reason:
-            return before._replace(observed=stored.version, reason=reason)
-        return before._replace(
+            return previous._replace(observed=stored.version, reason=reason)
+        return previous._replace(
             observed=stored.version,
             version=stored.version,
             spec=spec,
@@ -218,9 +244,11 @@
         )
 
     def validate(self, stored: StoredObject) -> tuple[dict[str, Any] | None, str]:
-        """Give a wish's spec, or the reason why it is refused.
+        """Validate a desired resource.
 
-        A wish to delete has neither.
+        Returns:
+            The spec and an empty reason, or None and the reason for refusing
+            it. A deletion gives None and an empty reason.
         """
         if not stored.body:
             return None, ''
@@ -234,14 +262,14 @@
         problems, resource = parse_section(section, desired.keys, stored.key)
         if resource is None:
             return None, InvalidFile(problems).message
-        missing = dangling(resource, self.config)
-        if missing:
-            return None, '; '.join(missing)
+        undeclared = dangling(resource, self.config)
+        if undeclared:
+            return None, '; '.join(undeclared)
         return spec_to_json(resource.spec), ''
 
 
 def encode_desired(resource_id: ResourceId, keys: dict[str, str] | None) -> bytes:
-    """Pack an operator's wish."""
+    """Encode a desired resource as JSON; `keys` None deletes the resource."""
     return msgspec.json.encode(
         DesiredResource(resource_id.kind, resource_id.name, keys)
     )
--- a/pollenwalk/process/fleet.py
+++ b/pollenwalk/process/fleet.py
@@ -1,7 +1,8 @@
-"""The upstream hosts as an entry knows them, from their sidecars' reports.
+"""The upstream hosts known to an entry, from the reports of their sidecars.
 
-Reports lag, so what this entry has sent since a report is added to it. A host
-that falls silent is left out, and a leaving one at its first word.
+Reports lag behind, so the calls that this entry has at a host are counted
+exactly and added to the load of others in the last report. A host gets no new
+calls once its reports stop coming, or as soon as it says that it is leaving.
 """
 
 from collections.abc import Iterator
@@ -16,21 +17,26 @@
 
 
 class Location(NamedTuple):
-    """Where a process runs."""
+    """The zone and region that a process runs in."""
 
     zone: str
     region: str
 
 
 class UpstreamHost:
-    """One upstream host: its last report and this entry's own calls there.
-
-    Own calls are known exactly. Those of other entries are what the host had
-    at its last word beyond our own at that moment.
+    """One upstream host: its last report and this entry's calls there.
+
+    Attributes:
+        report: the last report.
+        reported_ms: when it arrived, on the process's clock.
+        own_calls: ids of the calls that this entry has at the host now.
+        other_calls: estimated number of calls of other entries: those that the
+            host had beyond this entry's, at its last report or answer.
+        paused_until_ms: the host gets no new calls before this time.
     """
 
     def __init__(self, report: Report, reported_ms: float) -> None:
-        """Start from the first report."""
+        """Create a host from its first report."""
         self.report = report
         self.reported_ms = reported_ms
         self.own_calls: dict[str, None] = {}
@@ -38,22 +44,25 @@
         self.paused_until_ms = 0.0
 
     def update(self, report: Report, reported_ms: float) -> None:
-        """Replace the report unless it is older than the present one."""
+        """Replace the report unless a later one of the same start is known.
+
+        A host that has said that it is leaving stays so until it restarts.
+        """
         same_boot = report.boot_id == self.report.boot_id
         if same_boot and report.number < self.report.number:
             return
-        left = self.report.leaving and same_boot
-        self.report = report._replace(leaving=report.leaving or left)
+        was_leaving = self.report.leaving and same_boot
+        self.report = report._replace(leaving=report.leaving or was_leaving)
         self.reported_ms = reported_ms
         self.paused_until_ms = 0.0
         self.update_load(report.running + report.queued)
 
-    def update_load(self, ahead: int) -> None:
-        """Note how many calls the host has in all."""
-        self.other_calls = max(ahead - len(self.own_calls), 0)
+    def update_load(self, total_calls: int) -> None:
+        """Update the estimate from the number of all calls at the host."""
+        self.other_calls = max(total_calls - len(self.own_calls), 0)
 
     def to_view(self, region: str) -> HostView:
-        """Give what placement needs."""
+        """Return what the placement policy needs to know about the host."""
         report = self.report
         return HostView(
             report.sidecar,
@@ -67,10 +76,18 @@
 
 
 class Fleet:
-    """All upstream hosts that report to this entry."""
+    """All upstream hosts that report to this entry.
+
+    Attributes:
+        regions: the region of each zone.
+        hosts: by sidecar id.
+        report_interval_ms: interval at which the sidecars are told to report.
+        leaving_addresses: IP addresses of the hosts that the platform lists as
+            leaving.
+    """
 
     def __init__(self, clock: Clock, regions: dict[str, str]) -> None:
-        """Start empty; `regions` maps each zone to its region."""
+        """Create an empty fleet; `regions` maps each zone to its region."""
         self.clock = clock
         self.regions = regions
         self.hosts: dict[str, UpstreamHost] = {}
@@ -78,7 +95,7 @@
         self.leaving_addresses: frozenset[str] = frozenset()
 
     def record_report(self, report: Report) -> None:
-        """Note a report."""
+        """Add the reporting host, or update it."""
         now_ms = self.clock.now_ms()
         host = self.hosts.get(report.sidecar)
         if host is None:
@@ -87,7 +104,7 @@
             host.update(report, now_ms)
 
     def available_hosts(self, upstream: str) -> list[HostView]:
-        """Give the hosts of an upstream that may take new work."""
+        """Return the hosts of an upstream that may get new calls."""
         now_ms = self.clock.now_ms()
         return [
             host.to_view(self.regions.get(host.report.zone, ''))
@@ -96,12 +113,16 @@
         ]
 
     def available_hosts_of(self, upstreams: list[str]) -> Iterator[HostView]:
-        """Give the hosts of several upstreams that may take new work."""
+        """Yield the hosts of several upstreams that may get new calls."""
         for upstream in upstreams:
             yield from self.available_hosts(upstream)
 
     def is_available(self, host: UpstreamHost, now_ms: float) -> bool:
-        """Tell whether a host is heard, stays, and did not just refuse."""
+        """Return whether a host may get new calls.
+
+        It must have reported recently, have slots, not be leaving and not be
+        paused.
+        """
         if host.report.address.rpartition(':')[0] in self.leaving_addresses:
             return False
         if (
@@ -116,42 +137,45 @@
         )
 
     def add_call(self, sidecar: str, call: str) -> None:
-        """Note a call on its way to a host."""
+        """Count a call that is being sent to a host."""
         self.hosts[sidecar].own_calls[call] = None
 
     def remove_call(self, sidecar: str, call: str) -> None:
-        """Note that a call is back."""
+        """Stop counting a call that has ended at a host."""
         host = self.hosts.get(sidecar)
         if host is not None:
             host.own_calls.pop(call, None)
 
-    def update_load(self, sidecar: str, ahead: int) -> None:
-        """Note the load that came with an answer."""
+    def update_load(self, sidecar: str, total_calls: int) -> None:
+        """Update a host's load from the number of calls in an answer."""
         host = self.hosts.get(sidecar)
         if host is not None:
-            host.update_load(ahead)
+            host.update_load(total_calls)
 
     def mark_leaving(self, sidecar: str) -> None:
-        """Note a host's own word that it leaves."""
+        """Mark a host that has said itself that it is leaving."""
         host = self.hosts.get(sidecar)
         if host is not None:
             host.report = host.report._replace(leaving=True)
 
     def update_leaving_addresses(self, addresses: list[str]) -> None:
-        """Note the hosts that the platform says are leaving, by IP address.
+        """Replace the IP addresses of the hosts that the platform lists as leaving.
 
-        A host that is no longer named is live again.
+        A host that is no longer listed may get calls again.
         """
         self.leaving_addresses = frozenset(addresses)
 
     def pause_host(self, sidecar: str, pause_ms: float) -> None:
-        """Leave a host out for a while after a refusal or a lost path."""
+        """Send a host no new calls for `pause_ms`, or until its next report.
+
+        Used after a refusal or a lost connection.
+        """
         host = self.hosts.get(sidecar)
         if host is not None:
             host.paused_until_ms = self.clock.now_ms() + pause_ms
 
     def drop_silent(self, after_ms: float) -> None:
-        """Drop hosts that have been silent for long."""
+        """Drop hosts that have not reported for `after_ms`."""
         limit_ms = self.clock.now_ms() - after_ms
         self.hosts = {
             sidecar: host
--- a/pollenwalk/process/resource_client.py
+++ b/pollenwalk/process/resource_client.py
@@ -1,7 +1,8 @@
-"""What operators do: write wishes, read verdicts, and watch both.
+"""Client that operators use to write resources and read what was accepted.
 
-Updates are conditional: one that was made against another version than the
-present one is refused, so racing operators can't overwrite each other unseen.
+Updates are conditional: an update that was made against another version than
+the stored one is refused, so concurrent operators can't overwrite each other's
+changes unnoticed.
 """
 
 from collections.abc import AsyncIterator
@@ -30,21 +31,22 @@
 
 
 class UpdateConflict(PollenwalkError):
-    """Another operator has changed the resource."""
+    """The resource is not at the version that the update was made against."""
 
     code = 'conflict'
 
 
 class ResourceView(NamedTuple):
-    """A resource as operators see it.
+    """A desired resource together with its acceptance status.
 
     Attributes:
         name: `Kind/name`.
-        version: of the last wish; 0 when there is none.
-        keys: what was wished.
-        in_force: what is in force.
-        reason: why the last wish was refused; empty when it was not.
-        judged: whether the last wish has been looked at.
+        version: version of the desired resource.
+        keys: keys of the desired resource as written; None if it is deleted or
+            can't be decoded.
+        in_force: the spec that is in force; None if there is none.
+        reason: why the last evaluated version was refused; empty if it was not.
+        judged: whether this version has been evaluated.
     """
 
     name: str
@@ -59,7 +61,7 @@
     """Writes and reads resources through the platform's object API."""
 
     def __init__(self, store: ObjectStore, clock: Clock) -> None:
-        """Act on `store`."""
+        """Create a client of `store`."""
         self.store = store
         self.clock = clock
 
@@ -69,20 +71,20 @@
         keys: dict[str, str] | None,
         version: int | None = None,
     ) -> int:
-        """Write a wish.
+        """Write a desired resource, retrying while the store is unavailable.
 
         Args:
             resource_id: the resource.
             keys: its keys as in the INI file; None deletes it.
-            version: the version the change was made against; None takes the
-                present one.
+            version: the version that the change was made against; None accepts
+                whatever version is stored.
 
         Returns:
-            The wish's version.
+            The version of the desired resource.
 
         Raises:
             UpdateConflict: the resource has another version.
-            StoreUnavailable: the store did not answer for long.
+            StoreUnavailable: the store did not answer for WRITE_TIMEOUT_MS.
         """
         key = desired_key(resource_id)
         body = encode_desired(resource_id, keys)
@@ -97,7 +99,20 @@
             await backoff.pause()
 
     async def write(self, key: str, body: bytes, version: int | None) -> int:
-        """Try once; a wish that is already there needs no writing."""
+        """Try once to write an object, unless it is stored already.
+
+        Args:
+            key: key of the object.
+            body: its new content.
+            version: the version that the object must have; None for any.
+
+        Returns:
+            The version of the object.
+
+        Raises:
+            UpdateConflict: the object has another version.
+            StoreUnavailable: the store did not answer.
+        """
         present = await self.store.get(key)
         if present is not None and present.body == body:
             return present.version
@@ -107,15 +122,19 @@
         try:
             return await self.store.put(key, body, present_version)
         except StoreConflict as error:
-            raise UpdateConflict(f'{key} was changed meanwhile') from error
+            raise UpdateConflict(f'{key} was changed concurrently') from error
 
     async def wait_for_status(
         self, resource_id: ResourceId, version: int
     ) -> AcceptanceStatus | None:
-        """Wait for the verdict on a wish.
+        """Wait until a version of a desired resource has been evaluated.
 
         Returns:
-            The verdict, or None when none came in time.
+            The acceptance status, or None if there is none after
+            STATUS_TIMEOUT_MS.
+
+        Raises:
+            StoreUnavailable: the store did not answer.
         """
         until_ms = self.clock.now_ms() + STATUS_TIMEOUT_MS
         while self.clock.now_ms() < until_ms:
@@ -128,10 +147,10 @@
         return None
 
     async def list_resources(self) -> list[ResourceView]:
-        """Read all resources with what is in force."""
-        wishes = await self.store.scan(DESIRED_PREFIX)
+        """Return all desired resources with their acceptance statuses."""
+        desired = await self.store.scan(DESIRED_PREFIX)
         statuses = await self.store.scan(STATUS_PREFIX)
-        judged = {
+        status_by_name = {
             stored.key.removeprefix(STATUS_PREFIX): STATUS_DECODER.decode(stored.body)
             for stored in statuses.objects
         }
@@ -140,13 +159,13 @@
                 stored.key.removeprefix(DESIRED_PREFIX),
                 stored.version,
                 stored.body,
-                judged.get(stored.key.removeprefix(DESIRED_PREFIX)),
+                status_by_name.get(stored.key.removeprefix(DESIRED_PREFIX)),
             )
-            for stored in wishes.objects
+            for stored in desired.objects
         ]
 
     async def watch(self) -> AsyncIterator[AcceptanceStatus]:
-        """Give the present verdicts, then each new one."""
+        """Yield the stored acceptance statuses, then each new one."""
         changes = await self.store.scan(STATUS_PREFIX)
         while True:
             for stored in changes.objects:
@@ -161,7 +180,14 @@
     body: bytes,
     status: AcceptanceStatus | None,
 ) -> ResourceView:
-    """Put a wish and its verdict together."""
+    """Combine a desired resource and its acceptance status.
+
+    Args:
+        name: `Kind/name`.
+        version: version of the desired resource.
+        body: the stored desired resource.
+        status: its acceptance status; None if it has none yet.
+    """
     try:
         keys = DESIRED_DECODER.decode(body).keys
     except msgspec.DecodeError:
--- a/pollenwalk/process/store.py
+++ b/pollenwalk/process/store.py
@@ -1,8 +1,8 @@
-"""What pollenwalk needs of the platform's object store.
+"""Interface to the platform's object store, and helpers for writing to it.
 
-The store is the only place of agreement. Its answers can be lost after a
-write took effect, so a write that must happen once carries a nonce and is
-read back when its answer is missing.
+Processes agree with each other only through the store. Its answer can be lost
+after a write took effect, so a write that must happen exactly once carries a
+nonce and is read back if its answer did not arrive.
 """
 
 import random
@@ -13,7 +13,7 @@
 
 MAX_VALUE_BYTES = 1_000_000
 ABSENT = 0
-# Fewer and longer watches cost the store less.
+# A long timeout keeps the number of watches, and so the store's load, low.
 WATCH_TIMEOUT_MS = 25_000
 FIRST_RETRY_DELAY_MS = 20
 MAX_RETRY_DELAY_MS = 1000
@@ -22,7 +22,7 @@
 
 
 class StoredObject(NamedTuple):
-    """An object; its version grows with each write in the whole store."""
+    """An object of the store; versions come from one counter of the whole store."""
 
     key: str
     body: bytes
@@ -30,7 +30,12 @@
 
 
 class Changes(NamedTuple):
-    """What a watch saw; an object without body has been deleted."""
+    """The result of a scan or a watch.
+
+    Attributes:
+        revision: revision of the store at the answer.
+        objects: the objects found or changed; one without a body was deleted.
+    """
 
     revision: int
     objects: list[StoredObject]
@@ -39,31 +44,31 @@
 class ObjectStore(Protocol):
     """The platform's object API.
 
-    Every method raises `StoreUnavailable` when no answer came. A write that
+    Every method raises `StoreUnavailable` if no answer arrived. A write that
     raised it may have taken effect.
     """
 
     async def get(self, key: str) -> StoredObject | None:
-        """Read one object."""
+        """Return one object, or None if there is none with this key."""
 
     async def put(self, key: str, body: bytes, version: int | None) -> int:
-        """Write an object and give its new version.
+        """Write an object and return its new version.
 
         Args:
-            key: the object's name.
-            body: at most 1 MB.
-            version: the version it must have; `ABSENT` to create it, None
-                to write whatever is there.
+            key: key of the object.
+            body: content of the object, at most 1 MB.
+            version: the version that the object must have; `ABSENT` to create
+                it, None to write it unconditionally.
 
         Raises:
             StoreConflict: the object has another version.
         """
 
     async def delete(self, key: str) -> None:
-        """Delete an object; one that is not there is no error."""
+        """Delete an object, if it exists."""
 
     async def scan(self, prefix: str) -> Changes:
-        """Read all objects below a prefix, in the order of their names."""
+        """Return all objects below a prefix, sorted by key."""
 
     async def watch(
         self,
@@ -71,28 +76,37 @@
         revision: int,
         wait_ms: int = WATCH_TIMEOUT_MS,
     ) -> Changes:
-        """Wait a bounded time for changes after a revision.
+        """Wait for changes below a prefix.
+
+        Args:
+            prefix: prefix of the keys.
+            revision: only changes after this revision of the store count.
+            wait_ms: maximum time to wait for a change, in ms.
+
+        Returns:
+            The changes; no objects if there was none in time.
 
         Raises:
-            StoreHistoryGone: the store has forgotten that revision.
+            StoreHistoryGone: the store no longer has the changes since
+                `revision`.
         """
 
 
 def make_nonce(dice: random.Random) -> str:
-    """Make an id that no other process makes."""
+    """Return a random 64-bit id in hexadecimal, which marks one writer's object."""
     return f'{dice.getrandbits(NONCE_BITS):016x}'
 
 
 class Backoff:
-    """Growing pauses between attempts."""
+    """Exponential back-off between retries."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start with the shortest pause."""
+        """Start with a delay of FIRST_RETRY_DELAY_MS."""
         self.clock = clock
         self.delay_ms = float(FIRST_RETRY_DELAY_MS)
 
     async def pause(self) -> None:
-        """Wait, and wait longer next time."""
+        """Wait for the current delay, then double it up to MAX_RETRY_DELAY_MS."""
         await self.clock.sleep_ms(self.delay_ms)
         self.delay_ms = min(self.delay_ms * BACKOFF_FACTOR, MAX_RETRY_DELAY_MS)
 
@@ -103,19 +117,19 @@
     key: str,
     body: bytes,
 ) -> bool:
-    """Create an object exactly once, however often the answer is lost.
+    """Create an object exactly once, even if answers of the store are lost.
 
-    The body must hold a nonce of its writer, so that reading it back tells
-    whose write took effect.
+    Retries until the store answers. The body must contain a nonce of its
+    writer, so that reading it back shows whose write took effect.
 
     Args:
         store: the platform's store.
-        clock: paces the retries.
-        key: the object's name.
-        body: what to write.
+        clock: clock for the delays between retries.
+        key: key of the object.
+        body: content of the object.
 
     Returns:
-        Whether the object is ours; False when another writer was first.
+        Whether this call created the object; False if another writer did.
     """
     backoff = Backoff(clock)
     while True:
@@ -126,7 +140,14 @@
 
 
 async def create_or_compare(store: ObjectStore, key: str, body: bytes) -> bool:
-    """Try once to create; where something is there, compare it."""
+    """Try once to create an object; compare the body if it exists already.
+
+    Returns:
+        Whether the object has this body.
+
+    Raises:
+        StoreUnavailable: the store did not answer.
+    """
     try:
         await store.put(key, body, ABSENT)
     except StoreConflict:
