--- a/pollenwalk/process/adoption.py
+++ b/pollenwalk/process/adoption.py
@@ -52,8 +52,8 @@
             Fenced: this home has itself been sealed.
         """
         if dead not in self.adopted:
-            owner = await self.takeover.owner(dead)
-            if owner != self.takeover.successor:
+            owner_id = await self.takeover.claim_ownership(dead)
+            if owner_id != self.takeover.successor:
                 return False
             await self.adopt_and_name(dead)
         await self.name_successor(dead)
--- a/pollenwalk/process/directory.py
+++ b/pollenwalk/process/directory.py
@@ -104,7 +104,7 @@
         for stored in changes.objects:
             self.take(stored)
 
-    def owner(self, incarnation: str) -> EntryRecord | None:
+    def resolve_owner(self, incarnation: str) -> EntryRecord | None:
         """Follow the successors of an incarnation to the present owner."""
         record = self.records.get(incarnation)
         for _ in range(MAX_CHAIN):
--- a/pollenwalk/process/entry_service.py
+++ b/pollenwalk/process/entry_service.py
@@ -90,8 +90,8 @@
         """Refuse what is not ours without a word on whether it ran."""
         if self.entry.routing.is_here(program_id):
             return
-        owner = self.entry.directory.owner(home_of(program_id))
-        if owner is None or owner.incarnation != self.entry.incarnation:
+        owner_record = self.entry.directory.resolve_owner(home_of(program_id))
+        if owner_record is None or owner_record.incarnation != self.entry.incarnation:
             raise HomeUnreachable()
 
     async def claim(self, message: ClaimKey) -> Claim:
--- a/pollenwalk/process/takeover.py
+++ b/pollenwalk/process/takeover.py
@@ -66,7 +66,7 @@
         self.witness_log = witness_log
         self.successor = successor
 
-    async def owner(self, dead: str) -> str:
+    async def claim_ownership(self, dead: str) -> str:
         """Seal a journal unless somebody has, and tell whose seal it is.
 
         Args:
@@ -105,19 +105,19 @@
             logger.info('journal_sealed', dead=dead, by=self.successor)
         return ours
 
-    async def is_orphan(self, dead: str, owner: str) -> bool:
+    async def is_orphan(self, dead: str, owner_id: str) -> bool:
         """Tell whether the owner of a seal can never adopt any more.
 
         That is so once its own journal is sealed without the adoption in it.
         The adoption may only be missing there after the dead entry's record
         has named its successor, so the record is read last.
         """
-        if owner == self.successor:
+        if owner_id == self.successor:
             return False
-        content = await read_journal(self.store, owner)
+        content = await read_journal(self.store, owner_id)
         if not content.sealed_by:
             return False
-        sealed = await self.read_sealed(owner)
+        sealed = await self.read_sealed(owner_id)
         if dead in adopted_incarnations(sealed):
             return False
         stored = await self.store.get(record_key(dead))
--- a/pollenwalk/request/routing.py
+++ b/pollenwalk/request/routing.py
@@ -79,13 +79,13 @@
             Refusal: no entry has ever had that incarnation.
         """
         incarnation = home_of(program_id)
-        owner = self.directory.owner(incarnation)
-        if owner is None:
+        owner_record = self.directory.resolve_owner(incarnation)
+        if owner_record is None:
             await self.refresh()
-            owner = self.directory.owner(incarnation)
-        if owner is None:
+            owner_record = self.directory.resolve_owner(incarnation)
+        if owner_record is None:
             raise unknown_program(program_id)
-        return owner
+        return owner_record
 
     async def refresh(self) -> None:
         """Read the directory; without the store nobody can tell.
@@ -167,8 +167,8 @@
             f'{message.caller}\0{message.key}',
             self.directory.records,
         )
-        owners = [self.directory.owner(incarnation) for incarnation in ranked]
-        known = {owner.incarnation: owner for owner in owners if owner is not None}
+        owners = [self.directory.resolve_owner(incarnation) for incarnation in ranked]
+        known = {record.incarnation: record for record in owners if record is not None}
         if not known:
             raise HomeUnreachable()
         return list(known.values())
@@ -243,11 +243,11 @@
         if self.is_here(request.program):
             source = self.home.call(request)
         else:
-            owner = await self.locate(request.program)
-            if owner.incarnation == self.incarnation:
+            owner_record = await self.locate(request.program)
+            if owner_record.incarnation == self.incarnation:
                 raise unknown_program(request.program)
             self.forwarded += 1
-            source = self.peers(owner.address).stream(request)
+            source = self.peers(owner_record.address).stream(request)
         try:
             async for item in source:
                 yield item
@@ -277,10 +277,12 @@
         """Ask the present home once."""
         if self.is_here(program_id):
             return await self.answer(message)
-        owner = await self.locate(program_id)
-        if owner.incarnation != self.incarnation:
+        owner_record = await self.locate(program_id)
+        if owner_record.incarnation != self.incarnation:
             self.forwarded += 1
-            return await self.peers(owner.address).ask(message, FORWARD_TIMEOUT_MS)
+            return await self.peers(owner_record.address).ask(
+                message, FORWARD_TIMEOUT_MS
+            )
         if isinstance(message, BeginProgram):
             return await self.answer(message)
         raise unknown_program(program_id)
--- a/test/process/test_journal.py
+++ b/test/process/test_journal.py
@@ -69,8 +69,8 @@
             journal = make_journal(store)
             await journal.commit(RECORDS)
             store.faults = faults
-            owner = await make_takeover(store).owner(HOME)
-            self.assertEqual(SUCCESSOR, owner, name)
+            owner_id = await make_takeover(store).claim_ownership(HOME)
+            self.assertEqual(SUCCESSOR, owner_id, name)
             store.faults = Faults()
             with testtools.ExpectedException(Fenced):
                 await journal.commit(RECORDS)
@@ -78,10 +78,10 @@
     @virtual
     async def test_only_one_seal_wins(self) -> None:
         store = MemoryStore(make_clock())
-        first = await make_takeover(store).owner(HOME)
+        first = await make_takeover(store).claim_ownership(HOME)
         other = make_takeover(store)
         other.successor = 'late'
-        self.assertEqual(first, await other.owner(HOME))
+        self.assertEqual(first, await other.claim_ownership(HOME))
 
     @virtual
     async def test_waits_out_an_outage(self) -> None:
--- a/test/test_broken.py
+++ b/test/test_broken.py
@@ -94,7 +94,7 @@
     Break(
         'takeover by lease alone',
         Takeover,
-        'owner',
+        'claim_ownership',
         own_without_seal,
         'paused_home_wakes_and_commits',
     ),
