--- a/pollenwalk/errors.py
+++ b/pollenwalk/errors.py
@@ -7,7 +7,7 @@
 import enum
 from typing import NamedTuple
 
-HOME_RETRY_MS = 1000
+OWNER_RETRY_MS = 1000
 
 
 class Outcome(enum.StrEnum):
@@ -94,7 +94,7 @@
         self.retry_after_ms = retry_after_ms
 
 
-class HomeUnreachable(Refusal):
+class OwnerUnreachable(Refusal):
     """The asked entry is not, or no longer, the program's home.
 
     The call may have run there, so the outcome is unknown.
@@ -103,7 +103,7 @@
     def __init__(
         self,
         message: str = "the program's home does not answer and has no successor yet",
-        retry_after_ms: int | None = HOME_RETRY_MS,
+        retry_after_ms: int | None = OWNER_RETRY_MS,
     ) -> None:
         """Invite the caller to come back."""
         super().__init__(
@@ -135,7 +135,7 @@
     def to_refusal(self) -> Refusal:
         """Rebuild the error on the receiving side."""
         if self.code == RefusalCode.HOME_UNREACHABLE:
-            return HomeUnreachable(self.message, self.retry_after_ms)
+            return OwnerUnreachable(self.message, self.retry_after_ms)
         return Refusal(
             RefusalCode(self.code),
             self.message,
--- a/pollenwalk/process/adoption.py
+++ b/pollenwalk/process/adoption.py
@@ -10,7 +10,7 @@
     encode_record,
     record_key,
 )
-from pollenwalk.process.home import Home
+from pollenwalk.process.program_owner import ProgramOwner
 from pollenwalk.process.segments import JournalContent, segment_key
 from pollenwalk.process.store import Backoff, ObjectStore, StoredObject
 from pollenwalk.process.takeover import (
@@ -29,13 +29,13 @@
 
     def __init__(
         self,
-        home: Home,
+        owner: ProgramOwner,
         takeover: Takeover,
         store: ObjectStore,
         directory: Directory,
     ) -> None:
         """Adopt into `home`."""
-        self.home = home
+        self.owner = owner
         self.takeover = takeover
         self.store = store
         self.directory = directory
@@ -64,20 +64,20 @@
 
         Other entries look into our journal to see whether we have adopted.
         """
-        self.home.adopting += 1
+        self.owner.adopting += 1
         try:
             await self.adopt(dead)
             await self.name_successor(dead)
         finally:
-            self.home.adopting -= 1
+            self.owner.adopting -= 1
 
     async def adopt(self, dead: str) -> None:
         """Copy all programs, then make the copy count."""
         sealed = await self.takeover.read_sealed(dead)
         book = replay(sealed)
         await self.copy(book, dead)
-        self.home.book.join(book)
-        self.home.recovery.recover(book.programs.values())
+        self.owner.book.join(book)
+        self.owner.recovery.recover(book.programs.values())
         inherited = adopted_incarnations(sealed)
         self.adopted.update(dict.fromkeys([dead, *sorted(inherited)]))
         logger.info('entry_adopted', dead=dead, programs=len(book.programs))
@@ -87,7 +87,7 @@
 
     async def copy(self, book: ProgramBook, dead: str) -> None:
         """Commit all programs and settled keys, then make them count."""
-        journal = self.home.parts.recorder.journal
+        journal = self.owner.parts.recorder.journal
         for chunk in chunks(book, dead):
             await journal.commit(chunk)
         claims = [
@@ -98,7 +98,7 @@
 
     async def name_successor(self, dead: str) -> None:
         """Write into a dead entry's record who has its programs."""
-        backoff = Backoff(self.home.parts.clock)
+        backoff = Backoff(self.owner.parts.clock)
         while not await self.successor_named(dead):
             await backoff.pause()
 
--- a/pollenwalk/process/beginnings.py
+++ b/pollenwalk/process/beginnings.py
@@ -6,8 +6,8 @@
 from pollenwalk.connection.wire import BeginProgram
 from pollenwalk.errors import Refusal, RefusalCode
 from pollenwalk.policy.door import has_room
-from pollenwalk.process.home_work import HomeWork
 from pollenwalk.process.ids import new_program_id
+from pollenwalk.process.owner_interface import OwnerInterface
 from pollenwalk.process.recorder import store_unavailable
 from pollenwalk.program.budget import Budget
 from pollenwalk.program.live import LiveProgram
@@ -31,10 +31,10 @@
 class Beginnings:
     """Programs that begin at one home, and keys that it settles."""
 
-    def __init__(self, home: HomeWork) -> None:
+    def __init__(self, owner: OwnerInterface) -> None:
         """Begin programs at `home`."""
-        self.home = home
-        self.parts = home.parts
+        self.owner = owner
+        self.parts = owner.parts
         self.beginning: dict[tuple[str, str], Beginning] = {}
         self.claiming: dict[tuple[str, str], asyncio.Task[None]] = {}
         self.claimed_ms: dict[tuple[str, str], float] = {}
@@ -48,7 +48,7 @@
         known = self.known(request)
         if known is not None:
             return self.repeated(known, request)
-        self.home.check_open()
+        self.owner.check_open()
         spec = self.parts.config.program(request.declaration)
         if spec is None:
             raise Refusal(
@@ -81,16 +81,16 @@
         Raises:
             Refusal: its parent had given its tokens away meanwhile.
         """
-        if program_id not in self.home.book.programs:
+        if program_id not in self.owner.book.programs:
             raise Refusal(
                 RefusalCode.BUDGET_EXHAUSTED,
                 'the parent has too few tokens to give',
             )
-        return self.home.find(program_id).program
+        return self.owner.find(program_id).program
 
     def known(self, request: BeginProgram) -> Program | None:
         """Give the program that was begun with this key or id."""
-        book = self.home.book
+        book = self.owner.book
         program_id = request.program
         if request.key:
             program_id = book.by_key.get((request.caller, request.key), program_id)
@@ -112,19 +112,19 @@
             Fenced: this home has a successor; ask there.
         """
         identity = (caller, key)
-        known = self.home.book.claims.get(identity)
+        known = self.owner.book.claims.get(identity)
         if known or not program:
             return known or ''
-        self.home.check_open()
+        self.owner.check_open()
         task = self.claiming.get(identity)
         if task is None:
             record = Claimed(caller, key, program)
-            task = self.home.tasks.spawn(self.parts.recorder.commit([record]), 'claim')
+            task = self.owner.tasks.spawn(self.parts.recorder.commit([record]), 'claim')
             self.claiming[identity] = task
             task.add_done_callback(lambda _: self.claiming.pop(identity, None))
         await self.durable(task)
         self.claimed_ms[identity] = self.parts.clock.now_ms()
-        return self.home.book.claims[identity]
+        return self.owner.book.claims[identity]
 
     def repeated(self, program: Program, request: BeginProgram) -> Program:
         """Check that a repeat asks for the same program."""
@@ -167,8 +167,8 @@
         """Start to record a beginning, a child's under its parent's lock."""
         recorder = self.parts.recorder
         if not record.parent:
-            return self.home.tasks.spawn(recorder.commit([record]), 'begin')
-        parent = self.home.find(record.parent)
+            return self.owner.tasks.spawn(recorder.commit([record]), 'begin')
+        parent = self.owner.find(record.parent)
         return recorder.record_later(parent, lambda: self.carved(parent, record))
 
     def carved(self, parent: LiveProgram, record: Begun) -> list[Record]:
@@ -190,7 +190,7 @@
         budget = self.parts.config.budget(request.caller)
         running = [
             program
-            for program in self.home.book.programs.values()
+            for program in self.owner.book.programs.values()
             if program.caller == request.caller and not program.ended
         ]
         promised = sum(program.budget.limit for program in running)
@@ -227,7 +227,7 @@
         Raises:
             Refusal: it has ended, or has too few.
         """
-        parent = self.home.find(parent_id)
+        parent = self.owner.find(parent_id)
         if parent.program.ended or parent.ending:
             raise Refusal(RefusalCode.PROGRAM_ENDED, 'the parent has ended')
         if limit > parent.program.budget.free:
@@ -239,8 +239,8 @@
     def drop_claims(self) -> None:
         """Forget keys whose retention has passed."""
         now_ms = self.parts.clock.now_ms()
-        for identity in list(self.home.book.claims):
+        for identity in list(self.owner.book.claims):
             claimed_ms = self.claimed_ms.setdefault(identity, now_ms)
             if now_ms - claimed_ms > KEY_RETAIN_MS:
-                self.home.book.claims.pop(identity)
+                self.owner.book.claims.pop(identity)
                 self.claimed_ms.pop(identity)
--- a/pollenwalk/process/compaction.py
+++ b/pollenwalk/process/compaction.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from pollenwalk.errors import Fenced, StoreUnavailable
-from pollenwalk.process.home import Home
+from pollenwalk.process.program_owner import ProgramOwner
 from pollenwalk.process.segments import segment_key
 from pollenwalk.process.store import ObjectStore
 from pollenwalk.program.program import snapshot_of
@@ -22,19 +22,19 @@
 class Compaction:
     """Tracks which segments are still needed."""
 
-    def __init__(self, home: Home, store: ObjectStore) -> None:
+    def __init__(self, owner: ProgramOwner, store: ObjectStore) -> None:
         """Compact the journal of `home`."""
-        self.home = home
+        self.owner = owner
         self.store = store
-        self.journal = home.parts.recorder.journal
+        self.journal = owner.parts.recorder.journal
         self.base_of: dict[str, int] = {}
         self.claims_base = 1
         self.floor = 1
 
     def start(self) -> None:
         """Follow what is recorded and compact in the background."""
-        self.home.parts.recorder.touched = self.touched
-        self.home.tasks.spawn(self.run(), 'compaction')
+        self.owner.parts.recorder.touched = self.touched
+        self.owner.tasks.spawn(self.run(), 'compaction')
 
     def touched(self, records: list[Record], segment: int) -> None:
         """Note that a program's records begin no earlier than a segment."""
@@ -45,7 +45,7 @@
     async def run(self) -> None:
         """Compact for as long as the home lives."""
         while not self.journal.fenced:
-            await self.home.parts.clock.sleep_ms(CHECK_MS)
+            await self.owner.parts.clock.sleep_ms(CHECK_MS)
             try:
                 await self.compact()
             except Fenced:
@@ -55,7 +55,7 @@
 
     async def compact(self) -> None:
         """Write the oldest programs again, then delete what nobody needs."""
-        if self.home.adopting:
+        if self.owner.adopting:
             return
         self.forget_dropped()
         if self.journal.next_segment - self.floor > MAX_SEGMENTS:
@@ -66,7 +66,7 @@
 
     def forget_dropped(self) -> None:
         """Forget programs that the home has dropped."""
-        known = self.home.book.programs
+        known = self.owner.book.programs
         self.base_of = {
             program: base for program, base in self.base_of.items() if program in known
         }
@@ -79,7 +79,7 @@
 
     async def rewrite(self, program_id: str) -> None:
         """Write one program's whole state again, under its lock."""
-        live = self.home.find(program_id)
+        live = self.owner.find(program_id)
         async with live.lock:
             snapshot = snapshot_of(live.program)
             base = self.journal.next_segment
@@ -90,7 +90,7 @@
         """Write all claims again; they are small and expire soon."""
         claims = [
             Claimed(caller, key, program)
-            for (caller, key), program in self.home.book.claims.items()
+            for (caller, key), program in self.owner.book.claims.items()
         ]
         base = self.journal.next_segment
         if claims:
@@ -110,6 +110,6 @@
         while self.floor < floor:
             if self.journal.pace is not None:
                 await self.journal.pace.turn()
-            key = segment_key(self.home.parts.incarnation, self.floor)
+            key = segment_key(self.owner.parts.incarnation, self.floor)
             await self.store.delete(key)
             self.floor += 1
--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -32,13 +32,13 @@
 )
 from pollenwalk.process.entry_service import EntryService
 from pollenwalk.process.fleet import Fleet, Location
-from pollenwalk.process.home import Home
 from pollenwalk.process.host_list import HostList, follow_hosts
 from pollenwalk.process.journal import Journal
 from pollenwalk.process.liveness import LOOK_MS, OBSERVERS, Liveness
 from pollenwalk.process.neighbours import Neighbours
 from pollenwalk.process.pacing import Pace
 from pollenwalk.process.peers import Peers
+from pollenwalk.process.program_owner import ProgramOwner
 from pollenwalk.process.recorder import Recorder
 from pollenwalk.process.store import ObjectStore, create_once
 from pollenwalk.process.subsets import Subsets
@@ -120,7 +120,7 @@
         self.neighbours = Neighbours(self)
         self.ready = False
         self.stopping = False
-        self.home_tasks = TaskSet()
+        self.owner_tasks = TaskSet()
         self.incarnate()
 
     async def take_over(self, dead: str) -> bool:
@@ -152,7 +152,7 @@
         self.journal = Journal(
             self.store,
             self.clock,
-            self.home_tasks,
+            self.owner_tasks,
             self.incarnation,
             self.dice,
         )
@@ -165,7 +165,7 @@
         self.journal.peers = self.peers.at
         self.journal.on_fenced = self.fenced
         book = ProgramBook()
-        recorder = Recorder(self.journal, book, self.clock, self.home_tasks)
+        recorder = Recorder(self.journal, book, self.clock, self.owner_tasks)
         parts = Parts(
             self.incarnation,
             self.clock,
@@ -179,8 +179,8 @@
             recorder,
             self.tracer,
         )
-        self.home = Home(parts, book, self.home_tasks)
-        self.compaction = Compaction(self.home, self.store)
+        self.owner = ProgramOwner(parts, book, self.owner_tasks)
+        self.compaction = Compaction(self.owner, self.store)
         self.takeover = Takeover(
             self.store,
             self.clock,
@@ -190,12 +190,12 @@
             self.dice,
         )
         self.adoption = Adoption(
-            self.home,
+            self.owner,
             self.takeover,
             self.store,
             self.directory,
         )
-        self.routing = Routing(self.home, self.directory, self.peers.at, self.location)
+        self.routing = Routing(self.owner, self.directory, self.peers.at, self.location)
         self.service = EntryService(self)
         self.server = PeerServer(self.clock, self.service.handle, self.incarnation)
 
@@ -231,7 +231,7 @@
             await self.clock.sleep_ms(DRAIN_CHECK_MS)
         self.journal.start()
         self.compaction.start()
-        self.home.start()
+        self.owner.start()
         self.ready = True
         logger.info('entry_ready', incarnation=own.incarnation)
 
@@ -245,14 +245,14 @@
     def fenced(self) -> None:
         """Go on as a new incarnation: a successor has our programs."""
         self.ready = False
-        self.home.abandon()
+        self.owner.abandon()
         if not self.stopping:
             self.tasks.spawn(self.reincarnate(), 'reincarnate')
 
     async def reincarnate(self) -> None:
         """Leave the old programs to their successor and register anew."""
-        old_tasks = self.home_tasks
-        self.home_tasks = TaskSet()
+        old_tasks = self.owner_tasks
+        self.owner_tasks = TaskSet()
         await self.server.close()
         self.incarnate()
         await self.register()
@@ -338,12 +338,12 @@
                     return
             await self.clock.sleep_ms(LOOK_MS)
         self.journal.closing = False
-        self.home.stopping = True
+        self.owner.stopping = True
 
     async def close(self) -> None:
         """End everything at once."""
         self.ready = False
-        await self.home_tasks.cancel()
+        await self.owner_tasks.cancel()
         await self.tasks.cancel()
         await self.server.close()
         await self.peers.close()
--- a/pollenwalk/process/entry_work.py
+++ b/pollenwalk/process/entry_interface.py
@@ -6,10 +6,10 @@
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.directory import Directory, EntryRecord
 from pollenwalk.process.fleet import Fleet
-from pollenwalk.process.home import Home
 from pollenwalk.process.journal import Journal
 from pollenwalk.process.liveness import Liveness
 from pollenwalk.process.peers import Peers
+from pollenwalk.process.program_owner import ProgramOwner
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.process.witness import WitnessLog
 from pollenwalk.request.routing import Routing
@@ -22,7 +22,7 @@
     witnesses: int
 
 
-class EntryWork(Protocol):
+class EntryInterface(Protocol):
     """An entry, as those who answer its peers and watch them see it.
 
     Attributes:
@@ -37,7 +37,7 @@
     stopping: bool
     clock: Clock
     tasks: TaskSet
-    home: Home
+    owner: ProgramOwner
     journal: Journal
     directory: Directory
     liveness: Liveness
--- a/pollenwalk/process/entry_service.py
+++ b/pollenwalk/process/entry_service.py
@@ -22,14 +22,14 @@
 from pollenwalk.errors import (
     ConnectionLost,
     Fenced,
-    HomeUnreachable,
     Outcome,
+    OwnerUnreachable,
     Refusal,
     RefusalCode,
 )
 from pollenwalk.process.directory import EntryRecord
-from pollenwalk.process.entry_work import EntryWork
-from pollenwalk.process.ids import home_of
+from pollenwalk.process.entry_interface import EntryInterface
+from pollenwalk.process.ids import owner_of
 
 HANDOVER_TIMEOUT_MS = 8000
 
@@ -37,10 +37,10 @@
 class EntryService:
     """Answers peers for one incarnation of an entry."""
 
-    def __init__(self, entry: EntryWork) -> None:
+    def __init__(self, entry: EntryInterface) -> None:
         """Answer for `entry`."""
         self.entry = entry
-        self.home = entry.home
+        self.owner = entry.owner
 
     async def handle(self, hello: Hello, message: Any) -> AsyncIterator[Any]:
         """Answer one question of another entry."""
@@ -54,10 +54,10 @@
     async def call(self, message: CallProgram) -> AsyncIterator[Any]:
         """Run a forwarded call; a home that was sealed says so."""
         try:
-            async for item in self.home.call(message):
+            async for item in self.owner.call(message):
                 yield item
         except Fenced as error:
-            raise HomeUnreachable() from error
+            raise OwnerUnreachable() from error
 
     async def answer(self, message: Any) -> Any:
         """Answer a question that has one answer."""
@@ -84,24 +84,24 @@
         try:
             return await self.entry.routing.answer(message)
         except Fenced as error:
-            raise HomeUnreachable() from error
+            raise OwnerUnreachable() from error
 
     def check_here(self, program_id: str) -> None:
         """Refuse what is not ours without a word on whether it ran."""
         if self.entry.routing.is_here(program_id):
             return
-        owner_record = self.entry.directory.resolve_owner(home_of(program_id))
+        owner_record = self.entry.directory.resolve_owner(owner_of(program_id))
         if owner_record is None or owner_record.incarnation != self.entry.incarnation:
-            raise HomeUnreachable()
+            raise OwnerUnreachable()
 
     async def claim(self, message: ClaimKey) -> Claim:
         """Settle a key, or tell which program it has."""
         try:
             if message.program:
                 return Claim(await self.entry.routing.claim_here(message))
-            return Claim(await self.home.beginnings.claim(*message))
+            return Claim(await self.owner.beginnings.claim(*message))
         except Fenced as error:
-            raise HomeUnreachable() from error
+            raise OwnerUnreachable() from error
 
     async def hand_over(self, message: HandOver) -> Done:
         """Take over the programs of an entry that stops.
--- a/pollenwalk/process/ids.py
+++ b/pollenwalk/process/ids.py
@@ -14,7 +14,7 @@
     return f'{PREFIX}-{incarnation}-{dice.getrandbits(ID_BITS):016x}'
 
 
-def home_of(program_id: str) -> str:
+def owner_of(program_id: str) -> str:
     """Read the home's incarnation off a program's id.
 
     Raises:
--- a/pollenwalk/process/metrics.py
+++ b/pollenwalk/process/metrics.py
@@ -7,7 +7,7 @@
 from aioprometheus import Counter, Gauge, Registry, Summary, render
 
 from pollenwalk.errors import Refusal
-from pollenwalk.process.entry_work import EntryWork
+from pollenwalk.process.entry_interface import EntryInterface
 
 
 class EntryMetrics:
@@ -69,9 +69,9 @@
         yield
         self.call_seconds.observe({}, time.perf_counter() - begun)
 
-    def render(self, entry: EntryWork) -> tuple[bytes, str]:
+    def render(self, entry: EntryInterface) -> tuple[bytes, str]:
         """Read the gauges off an entry and give the text of all metrics."""
-        self.programs.set({}, len(entry.home.book.programs))
+        self.programs.set({}, len(entry.owner.book.programs))
         self.pending.set({}, len(entry.journal.pending))
         self.segments.set({}, entry.journal.segments_written)
         self.hosts.set({}, len(entry.fleet.hosts))
--- a/pollenwalk/process/neighbours.py
+++ b/pollenwalk/process/neighbours.py
@@ -5,7 +5,7 @@
 from pollenwalk.connection.wire import Beat
 from pollenwalk.errors import Fenced, PollenwalkError, StoreUnavailable
 from pollenwalk.process.directory import EntryRecord
-from pollenwalk.process.entry_work import EntryWork
+from pollenwalk.process.entry_interface import EntryInterface
 from pollenwalk.process.liveness import LOOK_MS
 from pollenwalk.process.segments import WitnessRef
 
@@ -17,7 +17,7 @@
 class Neighbours:
     """What one entry does about the others."""
 
-    def __init__(self, entry: EntryWork) -> None:
+    def __init__(self, entry: EntryInterface) -> None:
         """Act for `entry`, whichever incarnation it has."""
         self.entry = entry
         self.taking_over: dict[str, None] = {}
--- a/pollenwalk/process/home_work.py
+++ b/pollenwalk/process/owner_interface.py
@@ -9,7 +9,7 @@
 from pollenwalk.request.parts import Parts
 
 
-class HomeWork(Protocol):
+class OwnerInterface(Protocol):
     """A home, as those who begin, recover and look after its programs see it.
 
     Attributes:
--- a/pollenwalk/process/home.py
+++ b/pollenwalk/process/program_owner.py
@@ -55,7 +55,7 @@
 ID_BITS = 64
 
 
-class Home:
+class ProgramOwner:
     """All programs of one incarnation."""
 
     def __init__(self, parts: Parts, book: ProgramBook, tasks: TaskSet) -> None:
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -10,7 +10,7 @@
     RefusalBody,
     RefusalCode,
 )
-from pollenwalk.process.home_work import HomeWork
+from pollenwalk.process.owner_interface import OwnerInterface
 from pollenwalk.program.history import plain_entries
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.program.program import Program
@@ -24,26 +24,26 @@
 class Recovery:
     """Settles the intents of programs that a home has adopted."""
 
-    def __init__(self, home: HomeWork) -> None:
+    def __init__(self, owner: OwnerInterface) -> None:
         """Recover the programs of `home`."""
-        self.home = home
-        self.parts = home.parts
+        self.owner = owner
+        self.parts = owner.parts
 
     def recover(self, programs: Iterable[Program]) -> None:
         """Find out what became of the intents of adopted programs."""
         for program in programs:
-            live = self.home.find(program.id)
+            live = self.owner.find(program.id)
             live.doubtful = program.next_sequence
             for intent in list(program.intents.values()):
                 call = LiveCall(request_of(intent), self.parts.clock)
                 live.calls[intent.key] = call
-                live.tasks[intent.key] = self.home.tasks.spawn(
+                live.tasks[intent.key] = self.owner.tasks.spawn(
                     self.recover_call(live, call, intent),
                     'recover',
                 )
             if program.ended:
-                self.home.tasks.spawn(
-                    self.home.release(program),
+                self.owner.tasks.spawn(
+                    self.owner.release(program),
                     'release',
                 )
 
@@ -90,7 +90,7 @@
             lambda: [Withdrawn(intent.program, intent.key)],
         )
         if call.stream.followers:
-            await self.home.run(live, call)
+            await self.owner.run(live, call)
             return
         call.refuse(
             Refusal(
--- a/pollenwalk/process/upkeep.py
+++ b/pollenwalk/process/upkeep.py
@@ -4,7 +4,7 @@
 
 from pollenwalk.connection.wire import Release, Renew
 from pollenwalk.errors import ConnectionLost, PollenwalkError, Refusal
-from pollenwalk.process.home_work import HomeWork
+from pollenwalk.process.owner_interface import OwnerInterface
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.program.program import Program
 from pollenwalk.program.records import Dropped
@@ -21,16 +21,16 @@
 class Upkeep:
     """Keeps the programs of one home in order."""
 
-    def __init__(self, home: HomeWork) -> None:
+    def __init__(self, owner: OwnerInterface) -> None:
         """Look after `home`."""
-        self.home = home
-        self.parts = home.parts
+        self.owner = owner
+        self.parts = owner.parts
         self.ended_ms: dict[str, float] = {}
 
     def start(self) -> None:
         """Start the regular work."""
-        self.home.tasks.spawn(self.renew(), 'renew')
-        self.home.tasks.spawn(self.sweep(), 'sweep')
+        self.owner.tasks.spawn(self.renew(), 'renew')
+        self.owner.tasks.spawn(self.sweep(), 'sweep')
 
     async def release(self, program: Program) -> None:
         """Ask every sidecar that holds memory to return it.
@@ -63,13 +63,13 @@
         """Renew the leases on engine memory, one message a sidecar."""
         while True:
             for address, programs in self.holdings().items():
-                self.home.tasks.spawn(self.renew_at(address, programs), 'renew_at')
+                self.owner.tasks.spawn(self.renew_at(address, programs), 'renew_at')
             await self.parts.clock.sleep_ms(RENEW_MS)
 
     def holdings(self) -> dict[str, list[str]]:
         """Give the running programs by the sidecars that hold for them."""
         holdings: dict[str, list[str]] = {}
-        for program in self.home.book.programs.values():
+        for program in self.owner.book.programs.values():
             if program.ended:
                 continue
             for address in program.holders:
@@ -87,20 +87,20 @@
         """End idle programs and drop ended ones after their retention."""
         while True:
             await self.parts.clock.sleep_ms(SWEEP_MS)
-            self.home.drop_claims()
-            for program in list(self.home.book.programs.values()):
+            self.owner.drop_claims()
+            for program in list(self.owner.book.programs.values()):
                 await self.sweep_one(program)
 
     async def sweep_one(self, program: Program) -> None:
         """End or drop one program if it is time."""
         now_ms = self.parts.clock.now_ms()
-        live = self.home.find(program.id)
+        live = self.owner.find(program.id)
         spec = self.parts.config.program(program.declaration) or ProgramSpec([])
         try:
             if not program.ended:
                 idle = now_ms - live.used_ms > spec.idle_ms
                 if not live.calls and (idle or live.is_overdue()):
-                    await self.home.end(program.id)
+                    await self.owner.end(program.id)
                 return
             ended_ms = self.ended_ms.setdefault(program.id, now_ms)
             if now_ms - ended_ms > RETAIN_MS:
@@ -116,5 +116,5 @@
             lambda: [Dropped(program_id)],
             DROP_WAIT_MS,
         )
-        self.home.live.pop(program_id, None)
+        self.owner.live.pop(program_id, None)
         self.ended_ms.pop(program_id, None)
--- a/pollenwalk/request/routing.py
+++ b/pollenwalk/request/routing.py
@@ -23,23 +23,23 @@
 from pollenwalk.errors import (
     ConnectionLost,
     Fenced,
-    HomeUnreachable,
+    OwnerUnreachable,
     Refusal,
     StoreUnavailable,
 )
 from pollenwalk.process.directory import Directory, EntryRecord, rendezvous
 from pollenwalk.process.fleet import Location
-from pollenwalk.process.home import Home
-from pollenwalk.process.ids import home_of, unknown_program
+from pollenwalk.process.ids import owner_of, unknown_program
+from pollenwalk.process.program_owner import ProgramOwner
 from pollenwalk.process.witness import PeerSource
 from pollenwalk.program.view import view_call, view_program
 
-HOME_WAIT_MS = 30_000
-HOME_PAUSE_MS = 50
+OWNER_WAIT_MS = 30_000
+OWNER_PAUSE_MS = 50
 FORWARD_TIMEOUT_MS = 10_000
 CLAIM_TIMEOUT_MS = 1000
 OLDER_REGISTRARS = 2
-MOVED = (ConnectionLost, Fenced, HomeUnreachable)
+MOVED = (ConnectionLost, Fenced, OwnerUnreachable)
 
 
 class Routing:
@@ -47,30 +47,30 @@
 
     def __init__(
         self,
-        home: Home,
+        owner: ProgramOwner,
         directory: Directory,
         peers: PeerSource,
         location: Location,
     ) -> None:
         """Serve `home`'s programs here and forward all others."""
-        self.home = home
+        self.owner = owner
         self.directory = directory
         self.peers = peers
         self.location = location
-        self.clock = home.parts.clock
+        self.clock = owner.parts.clock
         self.open_requests = 0
         self.forwarded = 0
 
     @property
     def incarnation(self) -> str:
         """Give the incarnation whose programs are served here."""
-        return self.home.parts.incarnation
+        return self.owner.parts.incarnation
 
     def is_here(self, program_id: str) -> bool:
         """Tell whether this entry is a program's home."""
-        if program_id in self.home.book.programs:
-            return not self.home.parts.recorder.journal.fenced
-        return home_of(program_id) == self.incarnation
+        if program_id in self.owner.book.programs:
+            return not self.owner.parts.recorder.journal.fenced
+        return owner_of(program_id) == self.incarnation
 
     async def locate(self, program_id: str) -> EntryRecord:
         """Give the present owner of a program.
@@ -78,7 +78,7 @@
         Raises:
             Refusal: no entry has ever had that incarnation.
         """
-        incarnation = home_of(program_id)
+        incarnation = owner_of(program_id)
         owner_record = self.directory.resolve_owner(incarnation)
         if owner_record is None:
             await self.refresh()
@@ -96,50 +96,50 @@
         try:
             await self.directory.refresh()
         except StoreUnavailable as error:
-            raise HomeUnreachable() from error
+            raise OwnerUnreachable() from error
 
     async def begin(self, request: BeginProgram) -> View:
         """Begin a program, or give the one begun with the same key."""
         self.open_requests += 1
         try:
             if request.parent:
-                return await self.at_home(request.parent, request)
+                return await self.at_owner(request.parent, request)
             return await self.begin_by_key(request)
         finally:
             self.open_requests -= 1
 
     async def begin_by_key(self, request: BeginProgram) -> View:
         """Begin here, or give what the same key began anywhere before."""
-        proposed = self.home.beginnings.new_id(self.best_home(request))
+        proposed = self.owner.beginnings.new_id(self.best_owner(request))
         if not request.key:
-            return await self.at_home(proposed, request._replace(program=proposed))
+            return await self.at_owner(proposed, request._replace(program=proposed))
         program_id = await self.claim(request, proposed)
-        return await self.at_home(
+        return await self.at_owner(
             program_id,
             request._replace(program=program_id),
         )
 
-    def best_home(self, request: BeginProgram) -> str:
+    def best_owner(self, request: BeginProgram) -> str:
         """Choose a home in the region of most of the program's upstreams.
 
         A commit and a dispatch are short ways there, while the link between
         regions is slow, narrow and paid by volume.
         """
-        spec = self.home.parts.config.program(request.declaration)
+        spec = self.owner.parts.config.program(request.declaration)
         upstreams = spec.upstreams if spec else []
-        fleet = self.home.parts.fleet
+        fleet = self.owner.parts.fleet
         regions = Counter(host.region for host in fleet.views_of(upstreams))
         own = self.location.region
         if not regions or regions[own] == max(regions.values()):
             return self.incarnation
         region = max(sorted(regions), key=regions.__getitem__)
         names = [record.incarnation for record in self.directory.live(region)]
-        ranked = rendezvous(request.key or self.home.beginnings.new_id(), names)
+        ranked = rendezvous(request.key or self.owner.beginnings.new_id(), names)
         return ranked[0] if ranked else self.incarnation
 
     async def claim(self, request: BeginProgram, proposed: str) -> str:
         """Settle a key with its registrar, across the registrar's death."""
-        until_ms = self.clock.now_ms() + HOME_WAIT_MS
+        until_ms = self.clock.now_ms() + OWNER_WAIT_MS
         message = ClaimKey(request.caller, request.key, proposed)
         while True:
             try:
@@ -170,16 +170,16 @@
         owners = [self.directory.resolve_owner(incarnation) for incarnation in ranked]
         known = {record.incarnation: record for record in owners if record is not None}
         if not known:
-            raise HomeUnreachable()
+            raise OwnerUnreachable()
         return list(known.values())
 
     async def claim_here(self, message: ClaimKey) -> str:
         """Settle a key here, after asking who was its registrar before."""
         identity = (message.caller, message.key)
-        if identity not in self.home.book.claims:
+        if identity not in self.owner.book.claims:
             earlier = await self.claimed_before(message)
             message = message._replace(program=earlier or message.program)
-        return await self.home.beginnings.claim(*message)
+        return await self.owner.beginnings.claim(*message)
 
     async def claimed_before(self, message: ClaimKey) -> str:
         """Ask the entries that owned the key before this one joined."""
@@ -210,7 +210,7 @@
         After a move the tokens begin again at offset 0.
         """
         deadline_ms = self.clock.now_ms() + request.deadline_in_ms
-        until_ms = min(deadline_ms, self.clock.now_ms() + HOME_WAIT_MS)
+        until_ms = min(deadline_ms, self.clock.now_ms() + OWNER_WAIT_MS)
         self.open_requests += 1
         try:
             async for item in self.call_until_done(request, deadline_ms, until_ms):
@@ -232,7 +232,7 @@
                 async for item in self.call_once(request):
                     yield item
             except MOVED as error:
-                grace_ms = self.clock.now_ms() + HOME_PAUSE_MS
+                grace_ms = self.clock.now_ms() + OWNER_PAUSE_MS
                 await self.wait_or_give_up(max(until_ms, grace_ms), error)
                 request = request._replace(offset=0)
             else:
@@ -241,7 +241,7 @@
     async def call_once(self, request: CallProgram) -> AsyncIterator[Tokens | Answer]:
         """Run a call at the present home."""
         if self.is_here(request.program):
-            source = self.home.call(request)
+            source = self.owner.call(request)
         else:
             owner_record = await self.locate(request.program)
             if owner_record.incarnation == self.incarnation:
@@ -261,19 +261,19 @@
             Refusal: none came in time; whether the call ran is unknown.
         """
         if self.clock.now_ms() >= until_ms:
-            raise HomeUnreachable() from error
-        await self.clock.sleep_ms(HOME_PAUSE_MS)
+            raise OwnerUnreachable() from error
+        await self.clock.sleep_ms(OWNER_PAUSE_MS)
 
-    async def at_home(self, program_id: str, message: Any) -> View:
+    async def at_owner(self, program_id: str, message: Any) -> View:
         """Ask a program's home one question, across its death."""
-        until_ms = self.clock.now_ms() + HOME_WAIT_MS
+        until_ms = self.clock.now_ms() + OWNER_WAIT_MS
         while True:
             try:
-                return await self.ask_home(program_id, message)
+                return await self.ask_owner(program_id, message)
             except MOVED as error:
                 await self.wait_or_give_up(until_ms, error)
 
-    async def ask_home(self, program_id: str, message: Any) -> View:
+    async def ask_owner(self, program_id: str, message: Any) -> View:
         """Ask the present home once."""
         if self.is_here(program_id):
             return await self.answer(message)
@@ -290,11 +290,11 @@
     async def answer(self, message: Any) -> View:
         """Answer a question about a program of this home."""
         if isinstance(message, BeginProgram):
-            return View(view_program(await self.home.beginnings.begin(message)))
+            return View(view_program(await self.owner.beginnings.begin(message)))
         if isinstance(message, EndProgram):
-            return View(view_program(await self.home.end(message.program)))
-        live = self.home.find(message.program)
-        confirmed = await self.home.confirmed()
+            return View(view_program(await self.owner.end(message.program)))
+        live = self.owner.find(message.program)
+        confirmed = await self.owner.confirmed()
         if isinstance(message, ViewCall):
             return View(view_call(live, message.key))
         return View(view_program(live.program, confirmed=confirmed))
@@ -303,6 +303,6 @@
         """Read or end a program at its home."""
         self.open_requests += 1
         try:
-            return await self.at_home(message.program, message)
+            return await self.at_owner(message.program, message)
         finally:
             self.open_requests -= 1
--- a/standin/experiments/recovery.py
+++ b/standin/experiments/recovery.py
@@ -45,8 +45,8 @@
     program = ScriptedProgram('p', door, world.clock, random.Random(seed), tally)
     await program.begin(SPARES.declaration, None, None)
     await program.send('a', Step('orders', 'reserve', 0, 0))
-    home = world.home_of(program.program)
-    await world.kill(home)
+    owner = world.owner_of(program.program)
+    await world.kill(owner)
     died_ms = world.clock.now_ms()
     ending = await program.send('b', Step('orders', 'reserve', 0, 0))
     if ending.answer is None:
--- a/standin/model.py
+++ b/standin/model.py
@@ -42,7 +42,7 @@
         sent: witnesses that a batch is on its way to.
         acknowledged: witnesses whose acknowledgement has come.
         stored: whether the home knows that its segment is written.
-        home_alive: whether the home still takes steps.
+        owner_alive: whether the owner still takes steps.
         dispatched: whether its dispatch has been sent.
         in_flight: whether that dispatch may still arrive.
         fenced: whether the sidecar refuses the home.
@@ -60,7 +60,7 @@
     sent: tuple[bool, bool] = (False, False)
     acknowledged: tuple[bool, bool] = (False, False)
     stored: bool = False
-    home_alive: bool = True
+    owner_alive: bool = True
     dispatched: bool = False
     in_flight: bool = False
     fenced: bool = False
@@ -89,11 +89,11 @@
     return tuple(value if place == one else pair[one] for one in range(2))
 
 
-def home_steps(state: State, variant: Variant) -> Iterator[Step]:
+def owner_steps(state: State, variant: Variant) -> Iterator[Step]:
     """Give what the home may do."""
-    if not state.home_alive:
+    if not state.owner_alive:
         return
-    yield 'home crashes', state._replace(home_alive=False)
+    yield 'home crashes', state._replace(owner_alive=False)
     if not state.sent_store and not state.stored:
         yield 'home writes', state._replace(sent_store=True, sent=(True, True))
     if state.slot == INTENT and not state.stored:
@@ -206,7 +206,7 @@
 
 def steps(state: State, variant: Variant) -> Iterator[Step]:
     """Give every next step of every process."""
-    yield from home_steps(state, variant)
+    yield from owner_steps(state, variant)
     yield from network_steps(state, variant)
     yield from sidecar_steps(state)
     yield from successor_steps(state, variant)
--- a/standin/scenario/runner.py
+++ b/standin/scenario/runner.py
@@ -127,15 +127,15 @@
             return name
         program_id = self.programs[program].program
         if role == 'home':
-            return self.world.home_of(program_id)
+            return self.world.owner_of(program_id)
         if role.startswith('witness'):
             return self.witness(program_id, int(role.removeprefix('witness')))
         return self.sidecar_with(program_id)
 
     def witness(self, program_id: str, number: int) -> str:
         """Give a witness of a program's home, counted from 1."""
-        home = self.world.entries[self.world.home_of(program_id)]
-        address = home.entry.journal.effective[number - 1].address
+        owner = self.world.entries[self.world.owner_of(program_id)]
+        address = owner.entry.journal.effective[number - 1].address
         return address.partition(':')[0]
 
     def sidecar_with(self, program_id: str) -> str:
@@ -400,9 +400,9 @@
 
     def expect_home(self, name: str, entry: str) -> None:
         """`expect PROGRAM home ENTRY`."""
-        home = self.world.home_of(self.programs[name].program)
-        if home != entry:
-            raise AssertionError(f'its home is {home}')
+        owner = self.world.owner_of(self.programs[name].program)
+        if owner != entry:
+            raise AssertionError(f'its home is {owner}')
 
     def expect_quiet(self, name: str) -> None:
         """`expect WHO quiet`: no work taken since the mark."""
--- a/standin/virtual/world.py
+++ b/standin/virtual/world.py
@@ -219,7 +219,7 @@
         daemon = process[1]
         await daemon.tasks.cancel()
         if isinstance(daemon, Entry):
-            await daemon.home_tasks.cancel()
+            await daemon.owner_tasks.cancel()
         await process.node.tasks.cancel()
 
     def pause(self, name: str) -> None:
@@ -237,10 +237,10 @@
         else:
             await self.start_sidecar(name)
 
-    def home_of(self, program: str) -> str:
+    def owner_of(self, program: str) -> str:
         """Give the entry that is a program's home now."""
         for name, process in self.entries.items():
-            here = program in process.entry.home.book.programs
+            here = program in process.entry.owner.book.programs
             if here and not process.node.dead and not process.entry.journal.fenced:
                 return name
         raise LookupError(f'nobody is home of {program}')
--- a/test/process/test_journal.py
+++ b/test/process/test_journal.py
@@ -14,14 +14,14 @@
 from standin.store import Faults, MemoryStore
 from test.helper import make_clock, virtual
 
-HOME = 'home'
+OWNER = 'home'
 SUCCESSOR = 'successor'
 RECORDS = [Ended('p')]
 
 
 def make_journal(store: MemoryStore) -> Journal:
     """Start a journal without witnesses."""
-    journal = Journal(store, store.clock, TaskSet(), HOME, random.Random(1))
+    journal = Journal(store, store.clock, TaskSet(), OWNER, random.Random(1))
     journal.start()
     return journal
 
@@ -59,7 +59,7 @@
             store.faults = faults
             await journal.commit(RECORDS)
             store.faults = Faults()
-            content = await read_journal(store, HOME)
+            content = await read_journal(store, OWNER)
             self.assertEqual(RECORDS, content.records(), name)
 
     @virtual
@@ -69,7 +69,7 @@
             journal = make_journal(store)
             await journal.commit(RECORDS)
             store.faults = faults
-            owner_id = await make_takeover(store).claim_ownership(HOME)
+            owner_id = await make_takeover(store).claim_ownership(OWNER)
             self.assertEqual(SUCCESSOR, owner_id, name)
             store.faults = Faults()
             with testtools.ExpectedException(Fenced):
@@ -78,10 +78,10 @@
     @virtual
     async def test_only_one_seal_wins(self) -> None:
         store = MemoryStore(make_clock())
-        first = await make_takeover(store).claim_ownership(HOME)
+        first = await make_takeover(store).claim_ownership(OWNER)
         other = make_takeover(store)
         other.successor = 'late'
-        self.assertEqual(first, await other.claim_ownership(HOME))
+        self.assertEqual(first, await other.claim_ownership(OWNER))
 
     @virtual
     async def test_waits_out_an_outage(self) -> None:
--- a/test/test_broken.py
+++ b/test/test_broken.py
@@ -14,7 +14,7 @@
 from pollenwalk.process.entry import Entry
 from pollenwalk.process.fleet import Fleet
 from pollenwalk.process.grants import Grants
-from pollenwalk.process.home import Home
+from pollenwalk.process.program_owner import ProgramOwner
 from pollenwalk.process.sidecar_calls import Sessions
 from pollenwalk.process.takeover import Sealed, Takeover
 from pollenwalk.program.budget import Budget
@@ -57,7 +57,7 @@
 whole_read = Takeover.read_sealed
 
 
-async def always_vouch(self: Home, refusal: Any, request: Any) -> bool:
+async def always_vouch(self: ProgramOwner, refusal: Any, request: Any) -> bool:
     """Let every 'not run' pass."""
     return True
 
@@ -107,7 +107,7 @@
     ),
     Break(
         "'not run' without proof",
-        Home,
+        ProgramOwner,
         'vouches',
         always_vouch,
         'sealed_home_is_asked_again',
