--- a/pollenwalk/process/clock.py
+++ b/pollenwalk/process/clock.py
@@ -1,7 +1,7 @@
-"""One clock for the whole process, so that tests can bring their own.
+"""The clock of a process, which tests can replace.
 
-All times are milliseconds. `now_ms` only grows and is for intervals;
-`wall_ms` is the calendar and decides nothing.
+All times are in milliseconds. `now_ms` is monotonic and measures intervals.
+`wall_ms` is the calendar time; no decision may depend on it.
 """
 
 import asyncio
@@ -18,38 +18,42 @@
     """The only source of time in the library."""
 
     def now_ms(self) -> float:
-        """Give the monotonic time in ms."""
+        """Return the monotonic time in ms."""
 
     def wall_ms(self) -> int:
-        """Give the calendar time in ms since 1970."""
+        """Return the calendar time in ms since 1970."""
 
     async def sleep_ms(self, duration_ms: float) -> None:
-        """Wait for so many ms."""
+        """Sleep for `duration_ms`; a negative duration counts as 0."""
 
     def timeout_ms(
         self,
         duration_ms: float,
     ) -> contextlib.AbstractAsyncContextManager[None]:
-        """Raise TimeoutError inside the block once so many ms have passed."""
+        """Return a context manager that bounds its block to `duration_ms`.
+
+        Raises:
+            TimeoutError: raised inside the block when the time is up.
+        """
 
 
 class LoopClock:
     """The clock of the running event loop."""
 
     def now_ms(self) -> float:
-        """Give the loop's time in ms."""
+        """Return the event loop's time in ms."""
         return asyncio.get_running_loop().time() * MS_PER_SECOND
 
     def wall_ms(self) -> int:
-        """Give the calendar time in ms."""
+        """Return the calendar time in ms since 1970."""
         return time.time_ns() // NS_PER_MS
 
     async def sleep_ms(self, duration_ms: float) -> None:
-        """Sleep on the loop."""
+        """Sleep on the event loop for `duration_ms`."""
         await asyncio.sleep(max(duration_ms, 0) / MS_PER_SECOND)
 
     @contextlib.asynccontextmanager
     async def timeout_ms(self, duration_ms: float) -> AsyncIterator[None]:
-        """Bound the block by the loop's timer."""
+        """Bound the block to `duration_ms` by the event loop's timer."""
         async with asyncio.timeout(max(duration_ms, 0) / MS_PER_SECOND):
             yield
--- a/pollenwalk/process/daemon.py
+++ b/pollenwalk/process/daemon.py
@@ -1,4 +1,4 @@
-"""Runs one entry or sidecar as a process of its own, until SIGTERM."""
+"""Runs an entry or a sidecar as a process, until SIGTERM or SIGINT."""
 
 import asyncio
 import random
@@ -29,15 +29,18 @@
 from pollenwalk.process.signals import stop_on_signals
 from pollenwalk.process.traces import Tracer, make_tracer
 
-Stop = Callable[[], Awaitable[None]]
+StopFunction = Callable[[], Awaitable[None]]
 
 
-def run_daemon(settings: Settings, start: Callable[..., Awaitable[Stop]]) -> None:
+def run_daemon(
+    settings: Settings, start: Callable[..., Awaitable[StopFunction]]
+) -> None:
     """Start a daemon, wait for SIGTERM or SIGINT, and stop it gracefully.
 
     Args:
-        settings: of the process.
-        start: starts the daemon and gives how to stop it.
+        settings: settings of the process.
+        start: starts the daemon from the settings and a tracer, and returns
+            the function that stops it.
 
     Raises:
         UserError: an address can't be bound.
@@ -56,9 +59,15 @@
 async def serve(
     settings: Settings,
     tracer: Tracer,
-    start: Callable[..., Awaitable[Stop]],
+    start: Callable[..., Awaitable[StopFunction]],
 ) -> None:
-    """Run a daemon until it is told to stop."""
+    """Run a daemon in the current event loop until a signal stops it.
+
+    Args:
+        settings: settings of the process.
+        tracer: tracer of the process.
+        start: as for `run_daemon`.
+    """
     stopped = stop_on_signals()
     stop = await start(settings, tracer)
     await stopped.wait()
@@ -68,39 +77,39 @@
 
 
 async def start_http(app: Starlette, address: str) -> HttpServer:
-    """Serve an application on `ip:port`."""
+    """Start an HTTP server for an application on `ip:port`."""
     host, port = split_address(address)
     server = HttpServer(app, host, port)
     await server.start()
     return server
 
 
-async def start_entry(settings: Settings, tracer: Tracer) -> Stop:
-    """Start an entry from its settings."""
-    own = settings.section('entry')
+async def start_entry(settings: Settings, tracer: Tracer) -> StopFunction:
+    """Start an entry from its settings; return the function that stops it."""
+    section = settings.section('entry')
     store = HttpStore(settings.section('store')['url'])
     hosts_url = settings.section('hosts').get('url')
     hosts = HttpHosts(hosts_url) if hosts_url else None
     dice = random.Random()
     entry = Entry(
         EntrySettings(
-            own['address'],
-            own['zone'],
+            section['address'],
+            section['zone'],
             settings.regions,
-            own['witnesses'],
-            own['journal_interval_ms'],
-            own['store_writes_per_second'],
+            section['witnesses'],
+            section['journal_interval_ms'],
+            section['store_writes_per_second'],
         ),
         GrpcNetwork(),
         store,
         LoopClock(),
         dice,
         tracer,
-        make_placement(own['placement'], dice),
+        make_placement(section['placement'], dice),
         hosts,
     )
     await entry.start()
-    server = await start_http(CallersApi(entry, EntryMetrics()).app(), own['http'])
+    server = await start_http(CallersApi(entry, EntryMetrics()).app(), section['http'])
 
     async def stop() -> None:  # noqa: WPS430
         await entry.stop()
@@ -112,18 +121,18 @@
     return stop
 
 
-async def start_sidecar(settings: Settings, tracer: Tracer) -> Stop:
-    """Start a sidecar from its settings."""
-    own = settings.section('sidecar')
-    upstream = make_upstream(own)
+async def start_sidecar(settings: Settings, tracer: Tracer) -> StopFunction:
+    """Start a sidecar from its settings; return the function that stops it."""
+    section = settings.section('sidecar')
+    upstream = make_upstream(section)
     sidecar = Sidecar(
         SidecarSettings(
-            own['id'],
-            own['upstream'],
-            own['address'],
-            own['zone'],
-            own['entries'],
-            own['coalesce_ms'],
+            section['id'],
+            section['upstream'],
+            section['address'],
+            section['zone'],
+            section['entries'],
+            section['coalesce_ms'],
         ),
         GrpcNetwork(),
         LoopClock(),
@@ -132,7 +141,7 @@
         tracer,
     )
     await sidecar.start()
-    server = await start_http(SidecarApi(sidecar).app(), own['http'])
+    server = await start_http(SidecarApi(sidecar).app(), section['http'])
 
     async def stop() -> None:  # noqa: WPS430
         await sidecar.stop()
@@ -142,8 +151,8 @@
     return stop
 
 
-def make_upstream(own: dict[str, Any]) -> HttpEngine | HttpService:
-    """Make the client of the upstream beside a sidecar."""
-    if own['kind'] == 'model':
-        return HttpEngine(own['url'])
-    return HttpService(own['url'])
+def make_upstream(section: dict[str, Any]) -> HttpEngine | HttpService:
+    """Create the client for the upstream that the [sidecar] section describes."""
+    if section['kind'] == 'model':
+        return HttpEngine(section['url'])
+    return HttpService(section['url'])
--- a/pollenwalk/process/logs.py
+++ b/pollenwalk/process/logs.py
@@ -1,10 +1,10 @@
-"""Logs as JSON lines, one object an event.
+"""Logs as JSON lines, one object per event.
 
 Daemons write them to standard output, commands to standard error.
 
-Lines are handed to a thread that writes them, so a reader that stops can
-never stop a request. What exceeds the rate or the room is dropped and
-counted; the count is logged as soon as lines flow again.
+A separate thread writes the lines, so a log reader that stops reading never
+blocks a request. Lines that exceed the rate limit or the queue are dropped and
+counted; the count is logged with the next line that is accepted.
 """
 
 import atexit
@@ -24,16 +24,16 @@
     from loguru import Record
 
 LEVELS = ('TRACE', 'DEBUG', 'INFO', 'WARNING', 'ERROR', 'CRITICAL')
-# Lines that may wait for the reader: about half a megabyte.
+# Maximum number of lines that wait to be written: about half a megabyte.
 MAX_QUEUED_LINES = 2000
-# Lines a second that a process writes at most; a line costs about 50 us.
+# Maximum number of lines that a process writes per second; each costs about 50 us.
 MAX_LINES_PER_SECOND = 600
-# The longest that a process waits for the reader of its last lines.
+# Maximum time that a process waits at exit until its last lines are written.
 FLUSH_TIMEOUT_S = 0.5
 
 
 def format_record(record: 'Record') -> str:
-    """Give an event's fields as one line."""
+    """Return the fields of an event as one line of JSON."""
     fields: dict[str, Any] = {
         'time': record['time'].isoformat(),
         'level': record['level'].name,
@@ -47,14 +47,20 @@
 
 
 class LineWriter:
-    """Writes lines without ever making the caller wait.
+    """Writes log lines in a thread, so that callers never block.
 
     Attributes:
-        dropped: lines that were given up since the last one was written.
+        target: the file that lines are written to.
+        queue: lines that are not written yet.
+        lines_queued: set when lines are queued.
+        idle: set while no lines are waiting to be written.
+        dropped: number of lines dropped since a line was last queued.
+        second: the second of the monotonic clock that lines are counted in.
+        lines_this_second: lines counted in that second, dropped ones included.
     """
 
     def __init__(self, target: TextIO) -> None:
-        """Write to a file in a thread of its own."""
+        """Start the thread that writes to `target`."""
         self.target = target
         self.queue: collections.deque[str] = collections.deque()
         self.lines_queued = threading.Event()
@@ -66,7 +72,7 @@
         threading.Thread(target=self.run, name='logs', daemon=True).start()
 
     def enqueue(self, message: Any) -> None:
-        """Queue one event, or drop it."""
+        """Queue the line of one event, or drop it if there are too many."""
         if self.exceeds_rate() or len(self.queue) >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
@@ -79,7 +85,7 @@
         self.lines_queued.set()
 
     def exceeds_rate(self) -> bool:
-        """Count a line and tell whether it exceeds the rate."""
+        """Count a line and return whether it exceeds the rate limit."""
         second = int(time.monotonic())
         if second != self.second:
             self.second = second
@@ -88,7 +94,7 @@
         return self.lines_this_second > MAX_LINES_PER_SECOND
 
     def run(self) -> None:
-        """Write what is queued, for ever."""
+        """Write queued lines in a loop; runs in the thread."""
         while True:
             self.lines_queued.wait()
             self.lines_queued.clear()
@@ -99,7 +105,7 @@
                 self.idle.set()
 
     def write(self, batch: list[str]) -> None:
-        """Write some lines; without a reader they are lost."""
+        """Write lines; drop them if the file can't be written."""
         try:
             self.target.write('\n'.join((*batch, '')))
             self.target.flush()
@@ -107,15 +113,18 @@
             self.dropped += len(batch)
 
     def flush(self, timeout_s: float) -> None:
-        """Wait a bounded time until all lines are written."""
+        """Wait until all lines are written, but at most `timeout_s`."""
         self.idle.wait(timeout_s)
 
 
 class LoggingBridge(logging.Handler):
-    """Sends what libraries log through the standard module the same way."""
+    """Passes log records of the standard logging module on to loguru.
+
+    Libraries log through that module.
+    """
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Pass one event on."""
+        """Log one record with loguru."""
         exception = record.exc_info[1] if record.exc_info else None
         logger.opt(exception=exception).log(
             record.levelname,
@@ -125,20 +134,20 @@
 
 
 def set_up_logs(level: str, target: TextIO | None = None) -> LineWriter:
-    """Send events of a level and above to a file.
+    """Write events of a level and above to a file as JSON lines.
 
     Args:
-        level: of the least important events that are written.
-        target: standard error if left out.
+        level: lowest level that is written.
+        target: the file; None for standard error.
 
     Returns:
-        The writer, which has lines left for a moment.
+        The writer. Lines may still be queued in it, see `LineWriter.flush`.
 
     Raises:
         UserError: there is no such level.
     """
     if level.upper() not in LEVELS:
-        raise UserError(f'log level {level!r}: allowed are {", ".join(LEVELS)}')
+        raise UserError(f'unknown log level {level!r}; allowed: {", ".join(LEVELS)}')
     writer = LineWriter(target or sys.stderr)
     atexit.register(writer.flush, FLUSH_TIMEOUT_S)
     logger.remove()
--- a/pollenwalk/process/metrics.py
+++ b/pollenwalk/process/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of an entry, with their units in their names."""
+"""The metrics of an entry; the names contain the units."""
 
 import contextlib
 import time
@@ -11,7 +11,7 @@
 
 
 class EntryMetrics:
-    """Counters that requests feed and gauges read at each scrape."""
+    """Counters updated by requests, and gauges updated at each scrape."""
 
     def __init__(self) -> None:
         """Register all metrics."""
@@ -41,15 +41,15 @@
         )
 
     def counter(self, name: str, text: str) -> Counter:
-        """Register a counter."""
+        """Create and register a counter."""
         return Counter(f'pollenwalk_{name}', text, registry=self.registry)
 
     def gauge(self, name: str, text: str) -> Gauge:
-        """Register a gauge."""
+        """Create and register a gauge."""
         return Gauge(f'pollenwalk_{name}', text, registry=self.registry)
 
     def count_program(self) -> None:
-        """Count a program."""
+        """Count a program that has begun."""
         self.begun_total.inc({})
 
     def count_refusal(self, refusal: Refusal) -> None:
@@ -64,13 +64,17 @@
 
     @contextlib.contextmanager
     def time_call(self) -> Iterator[None]:
-        """Time a whole call."""
-        begun = time.perf_counter()
+        """Record the duration of the block as that of a call, unless it raises."""
+        started = time.perf_counter()
         yield
-        self.call_seconds.observe({}, time.perf_counter() - begun)
+        self.call_seconds.observe({}, time.perf_counter() - started)
 
     def render(self, entry: EntryInterface) -> tuple[bytes, str]:
-        """Read the gauges off an entry and give the text of all metrics."""
+        """Update the gauges from an entry and return all metrics.
+
+        Returns:
+            The metrics in the Prometheus text format, and their content type.
+        """
         self.programs.set({}, len(entry.owner.book.programs))
         self.pending.set({}, len(entry.journal.pending))
         self.segments.set({}, entry.journal.segments_written)
--- a/pollenwalk/process/metrics_page.py
+++ b/pollenwalk/process/metrics_page.py
@@ -1,4 +1,4 @@
-"""The page on which a process shows its metrics."""
+"""The HTTP endpoint for the metrics of a process."""
 
 from collections.abc import Callable
 
@@ -11,28 +11,29 @@
 from pollenwalk.connection.addresses import split_address
 from pollenwalk.connection.http_server import HttpServer
 
-# From a sync of a disk to the longest time that a caller waits, in seconds.
+# Upper bounds in seconds, from the time of a disk sync to the longest time that
+# a caller waits.
 BUCKETS = (0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0)
 PATH = '/metrics'
 
 
 class MetricSet:
-    """The metrics of one process, with their units in their names."""
+    """The metrics of one process; the names contain the units."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create an empty set."""
         self.registry = Registry()
 
     def counter(self, name: str, text: str) -> Counter:
-        """Register a counter."""
+        """Create and register a counter."""
         return Counter(f'pollenwalk_{name}', text, registry=self.registry)
 
     def gauge(self, name: str, text: str) -> Gauge:
-        """Register a gauge."""
+        """Create and register a gauge."""
         return Gauge(f'pollenwalk_{name}', text, registry=self.registry)
 
     def histogram(self, name: str, text: str) -> Histogram:
-        """Register a histogram of times."""
+        """Create and register a histogram of times in seconds."""
         return Histogram(
             f'pollenwalk_{name}',
             text,
@@ -41,7 +42,7 @@
         )
 
     def render(self) -> Response:
-        """Write all metrics as text."""
+        """Return all metrics in the Prometheus text format."""
         body, headers = render(self.registry, ['text/plain'])
         return Response(body, headers=headers)
 
@@ -51,12 +52,12 @@
     refresh: Callable[[], None],
     address: str,
 ) -> HttpServer:
-    """Make the server of a process's metrics.
+    """Create the HTTP server for a process's metrics, without starting it.
 
     Args:
-        metrics: what to show.
-        refresh: sets the gauges before each reading.
-        address: where to listen.
+        metrics: the metrics to serve.
+        refresh: updates the gauges before each scrape.
+        address: `ip:port` to listen on.
     """
 
     async def show(_: Request) -> Response:  # noqa: WPS430
--- a/pollenwalk/process/settings.py
+++ b/pollenwalk/process/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the processes, read from INI and checked whole at the start."""
+"""Settings of the processes, read from INI files and validated at start-up."""
 
 import configparser
 from importlib import resources
@@ -88,6 +88,7 @@
         'spares_share': read_number(0, 1),
     },
 }
+# The sections that each role requires.
 ROLES: dict[str, tuple[str, ...]] = {
     'entry': ('process', 'store', 'entry'),
     'sidecar': ('process', 'sidecar'),
@@ -100,56 +101,69 @@
 
 
 class Settings(NamedTuple):
-    """All checked settings of one process.
+    """The validated settings of one process.
 
     Attributes:
-        sections: the values by section and key.
-        regions: the region of each zone.
+        sections: values by section and key.
+        regions: region of each zone.
     """
 
     sections: dict[str, dict[str, Any]]
     regions: dict[str, str]
 
     def section(self, name: str) -> dict[str, Any]:
-        """Give one section's values."""
+        """Return the values of a section by key."""
         return self.sections[name]
 
 
 def read_settings(path: Path, role: str) -> Settings:
-    """Read and check the settings of a role.
+    """Read and validate the settings of a role.
 
     Args:
         path: the settings file.
-        role: which process they are for; sections of other roles may stand
-            in the same file and are checked too, but not required.
+        role: role of the process that the settings are for. Sections of other
+            roles may be in the same file; they are validated, but keys missing
+            from them are no error.
 
     Returns:
-        The settings, completed with the defaults.
+        The settings, with defaults for the keys that are not in the file.
 
     Raises:
-        InvalidFile: with every error of the file.
+        InvalidFile: the file has errors; lists all of them.
         UserError: the file can't be read.
     """
     return parse_settings(read_text(path), str(path), role)
 
 
 def parse_settings(text: str, source: str, role: str) -> Settings:
-    """Read and check a settings text."""
-    given = parse_ini(text, source)
+    """Parse and validate the text of a settings file.
+
+    Args:
+        text: the text.
+        source: name of the file, for error messages.
+        role: role of the process that the settings are for.
+
+    Returns:
+        The settings, with defaults for the keys that are not in the text.
+
+    Raises:
+        InvalidFile: the text has errors; lists all of them.
+    """
+    file_sections = parse_ini(text, source)
     defaults = parse_ini(default_text(), DEFAULTS)
     problems = [
         Problem(source, section, '', f'unknown section; allowed: {known_sections()}')
-        for section in given
+        for section in file_sections
         if section not in SCHEMAS and section != REGIONS
     ]
     sections: dict[str, dict[str, Any]] = {}
-    for known in SCHEMAS:
-        keys = {**defaults.get(known, {}), **given.get(known, {})}
-        found, fields = parse_section(known, keys, source, known in ROLES[role])
-        problems.extend(found)
-        sections[known] = fields
-    regions, found = parse_regions(given.get(REGIONS, {}), source)
-    problems.extend(found)
+    for name in SCHEMAS:
+        keys = {**defaults.get(name, {}), **file_sections.get(name, {})}
+        errors, fields = parse_section(name, keys, source, name in ROLES[role])
+        problems.extend(errors)
+        sections[name] = fields
+    regions, errors = parse_regions(file_sections.get(REGIONS, {}), source)
+    problems.extend(errors)
     if not problems:
         problems.extend(check_zone(sections, regions, source, role))
     if problems:
@@ -158,7 +172,11 @@
 
 
 def parse_ini(text: str, source: str) -> dict[str, dict[str, str]]:
-    """Read INI sections."""
+    """Parse INI text into keys by section.
+
+    Raises:
+        InvalidFile: the text is no INI file, or has a section or key twice.
+    """
     parser = configparser.ConfigParser(interpolation=None, default_section='')
     try:
         parser.read_string(text, source)
@@ -169,13 +187,13 @@
 
 
 def default_text() -> str:
-    """Give the commented default settings."""
+    """Return the text of the default settings, with its comments."""
     package = resources.files('pollenwalk')
     return package.joinpath(DEFAULTS).read_text(encoding='utf-8')
 
 
 def known_sections() -> str:
-    """List the sections."""
+    """Return the names of all sections, separated by commas."""
     return ', '.join([*SCHEMAS, REGIONS])
 
 
@@ -185,7 +203,17 @@
     source: str,
     required: bool,
 ) -> tuple[list[Problem], dict[str, Any]]:
-    """Read one section, giving its errors and its values."""
+    """Parse and validate one section.
+
+    Args:
+        section: name of the section.
+        keys: text of each key.
+        source: name of the file, for error messages.
+        required: whether every key of the section must be present.
+
+    Returns:
+        The errors and the values by key.
+    """
     schema = SCHEMAS[section]
     values = dict(read_fields(schema, keys))
     errors = list(field_errors(values))
@@ -199,7 +227,15 @@
     keys: dict[str, str],
     source: str,
 ) -> tuple[dict[str, str], list[Problem]]:
-    """Read the map from zones to regions."""
+    """Parse and validate the [regions] section.
+
+    Args:
+        keys: region of each zone.
+        source: name of the file, for error messages.
+
+    Returns:
+        The region of each zone and the errors.
+    """
     problems = []
     regions = {}
     for zone, region in keys.items():
@@ -217,7 +253,11 @@
     source: str,
     role: str,
 ) -> list[Problem]:
-    """Check that the zone of a role that places calls has a region."""
+    """Check that the process's zone has a region if its role needs it for placement.
+
+    Returns:
+        The errors: none, or one for the zone.
+    """
     zone = sections[role].get('zone') if role in ROLES_WITH_REGION else None
     if zone is None or zone in regions:
         return []
--- a/pollenwalk/process/signals.py
+++ b/pollenwalk/process/signals.py
@@ -1,20 +1,21 @@
-"""The signals that end a process, or make it read its settings again."""
+"""Handling of the signals that stop a process or make it reload its settings."""
 
 import asyncio
 import signal
 from collections.abc import Callable
 
 
-def stop_on_signals(on_hang_up: Callable[[], None] | None = None) -> asyncio.Event:
-    """Give an event that SIGTERM and SIGINT set.
+def stop_on_signals(on_hangup: Callable[[], None] | None = None) -> asyncio.Event:
+    """Return an event that is set on SIGTERM or SIGINT.
 
     Args:
-        on_hang_up: called on SIGHUP, which else ends the process.
+        on_hangup: called on SIGHUP. If None, SIGHUP keeps its default action,
+            which ends the process.
     """
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for one in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(one, stopped.set)
-    if on_hang_up is not None:
-        loop.add_signal_handler(signal.SIGHUP, on_hang_up)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
+    if on_hangup is not None:
+        loop.add_signal_handler(signal.SIGHUP, on_hangup)
     return stopped
--- a/pollenwalk/process/spans.py
+++ b/pollenwalk/process/spans.py
@@ -1,4 +1,4 @@
-"""Spans by OpenTelemetry, written to a file."""
+"""OpenTelemetry spans, written to a file."""
 
 import contextlib
 import json
@@ -23,14 +23,14 @@
 
 
 class FileExporter(SpanExporter):
-    """Writes finished spans to a file, one JSON object a line."""
+    """Writes finished spans to a file, one JSON object per line."""
 
     def __init__(self, path: Path) -> None:
-        """Append to `path`."""
+        """Create an exporter that appends to `path`."""
         self.path = path
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Write a batch of spans."""
+        """Append a batch of spans to the file."""
         with self.path.open('a', encoding='utf-8') as target:
             for span in spans:
                 compact = json.dumps(json.loads(span.to_json()))
@@ -39,10 +39,16 @@
 
 
 class FileSpanSource:
-    """A share of all traces, kept in a file."""
+    """Creates spans and writes those of a sample of all traces to a file."""
 
     def __init__(self, path: str, share: float) -> None:
-        """Append to `path`."""
+        """Create a source of spans.
+
+        Args:
+            path: file to which the spans are appended.
+            share: share of the traces that are sampled, from 0 to 1. A trace
+                that comes from another process keeps that process's decision.
+        """
         sampler = ParentBased(TraceIdRatioBased(share))
         self.provider = TracerProvider(sampler=sampler)
         exporter = FileExporter(Path(path))
@@ -52,7 +58,16 @@
 
     @contextlib.contextmanager
     def span(self, name: str, parent: str) -> Iterator[str]:
-        """Run a block in a span; gives the header for the next hop."""
+        """Run a block in a span.
+
+        Args:
+            name: name of the span.
+            parent: traceparent header of the caller. If it is not valid, the
+                span starts a new trace.
+
+        Yields:
+            The traceparent header for the next process.
+        """
         context = None
         if TRACEPARENT_PATTERN.fullmatch(parent):
             context = self.propagator.extract({TRACE_HEADER: parent})
@@ -62,5 +77,5 @@
             yield carrier.get(TRACE_HEADER, '')
 
     def close(self) -> None:
-        """Write what is left."""
+        """Write the spans that are still buffered."""
         self.provider.shutdown()
--- a/pollenwalk/process/tasks.py
+++ b/pollenwalk/process/tasks.py
@@ -1,7 +1,8 @@
-"""The background tasks of a process, ended together with it.
+"""Background tasks that are cancelled together with the object that owns them.
 
-A bare `create_task` can be collected while it runs and hides its exception;
-this set keeps each task and logs what it raises.
+A task from a bare `create_task` can be garbage-collected while it runs, and its
+exception goes unnoticed. TaskSet keeps a reference to each task and logs what
+it raises.
 """
 
 import asyncio
@@ -14,29 +15,34 @@
 
 
 class TaskSet:
-    """Tasks that live no longer than their owner."""
+    """A set of running background tasks."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty set."""
         self.tasks: dict[asyncio.Task[Any], None] = {}
 
-    def spawn(self, work: Coroutine[Any, Any, Any], name: str) -> asyncio.Task[Any]:
-        """Run a coroutine in the background.
+    def spawn(
+        self, coroutine: Coroutine[Any, Any, Any], name: str
+    ) -> asyncio.Task[Any]:
+        """Run a coroutine as a background task.
 
         Args:
-            work: the coroutine.
-            name: shown in the log when it fails.
+            coroutine: the coroutine.
+            name: name of the task, logged if it fails.
 
         Returns:
             The task, for callers that wait for it.
         """
-        task = asyncio.get_running_loop().create_task(work, name=name)
+        task = asyncio.get_running_loop().create_task(coroutine, name=name)
         self.tasks[task] = None
-        task.add_done_callback(self.forget)
+        task.add_done_callback(self.remove_finished)
         return task
 
-    def forget(self, task: asyncio.Task[Any]) -> None:
-        """Drop a finished task and log its exception."""
+    def remove_finished(self, task: asyncio.Task[Any]) -> None:
+        """Remove a finished task and log its exception.
+
+        A PollenwalkError is expected and logged at debug level only.
+        """
         self.tasks.pop(task, None)
         if task.cancelled() or task.exception() is None:
             return
@@ -49,7 +55,7 @@
         )
 
     async def cancel(self) -> None:
-        """Cancel all tasks and wait until they have ended."""
+        """Cancel all tasks but the calling one and wait until they have ended."""
         current = asyncio.current_task()
         running = [task for task in self.tasks if task is not current]
         for task in running:
--- a/pollenwalk/process/trace_header.py
+++ b/pollenwalk/process/trace_header.py
@@ -1,3 +1,3 @@
-"""The header that carries a trace from hop to hop (W3C trace context)."""
+"""The HTTP header that carries a trace between processes (W3C trace context)."""
 
 TRACE_HEADER = 'traceparent'
--- a/pollenwalk/process/traces.py
+++ b/pollenwalk/process/traces.py
@@ -1,7 +1,7 @@
-"""Spans for each hop, carried between processes as W3C trace context.
+"""Tracing of calls across processes with W3C trace context.
 
-The tracing library is imported only where traces are kept: it would take a
-tenth of the memory that a process may have.
+OpenTelemetry is imported only if traces are recorded, because it takes a tenth
+of the memory that a process may use.
 """
 
 import contextlib
@@ -10,24 +10,33 @@
 
 
 class SpanSource(Protocol):
-    """Starts spans."""
+    """Creates spans and records them."""
 
     def span(
         self,
         name: str,
         parent: str,
     ) -> contextlib.AbstractContextManager[str]:
-        """Run a block in a span; gives the header for the next hop."""
+        """Run a block in a span; return a context manager.
+
+        Args:
+            name: name of the span.
+            parent: traceparent header of the caller; empty for none.
+
+        Returns:
+            A context manager that gives the traceparent header for the next
+            process.
+        """
 
     def close(self) -> None:
-        """Write what is left."""
+        """Write the spans that are still buffered."""
 
 
 class Tracer:
-    """Starts spans at a source, or passes the header on."""
+    """Creates spans if tracing is on; otherwise only passes the header on."""
 
     def __init__(self, source: SpanSource | None = None) -> None:
-        """Use a source; None traces nothing."""
+        """Create a tracer; without a source no spans are recorded."""
         self.source = source
 
     @contextlib.contextmanager
@@ -35,11 +44,11 @@
         """Run a block in a span.
 
         Args:
-            name: the hop.
-            parent: the traceparent header of the hop before, or nothing.
+            name: name of the span.
+            parent: traceparent header of the caller; empty for none.
 
         Yields:
-            The traceparent header for the next hop.
+            The traceparent header for the next process.
         """
         if self.source is None:
             yield parent
@@ -48,13 +57,18 @@
             yield header
 
     def close(self) -> None:
-        """Write what is left."""
+        """Write the spans that are still buffered."""
         if self.source is not None:
             self.source.close()
 
 
 def make_tracer(path: str, share: float) -> Tracer:
-    """Make a tracer that writes a share of all traces to a file."""
+    """Create a tracer that appends its spans to a file.
+
+    Args:
+        path: the file; empty to record no spans.
+        share: share of the traces that are sampled, from 0 to 1.
+    """
     if not path:
         return Tracer()
     from pollenwalk.process.spans import FileSpanSource  # noqa: PLC0415, WPS433
