--- a/pollenwalk/policy/door.py
+++ b/pollenwalk/policy/door.py
@@ -54,11 +54,11 @@
     return wait_ms <= target_ms * WAIT_SHARE / (1 + priority)
 
 
-def return_after_ms(rest_ms: float, dice: random.Random) -> float:
+def return_after_ms(rest_ms: float, rng: random.Random) -> float:
     """Tell a caller that was turned back when to come again.
 
     Args:
         rest_ms: the time that the caller has left.
-        dice: spreads the callers.
+        rng: spreads the callers.
     """
-    return rest_ms * dice.uniform(FIRST_RETURN_SHARE, LAST_RETURN_SHARE)
+    return rest_ms * rng.uniform(FIRST_RETURN_SHARE, LAST_RETURN_SHARE)
--- a/pollenwalk/policy/host_choice.py
+++ b/pollenwalk/policy/host_choice.py
@@ -66,9 +66,9 @@
     unevenly far away, some of them full.
     """
 
-    def __init__(self, dice: random.Random) -> None:
-        """Break ties by `dice`."""
-        self.dice = dice
+    def __init__(self, rng: random.Random) -> None:
+        """Break ties by `rng`."""
+        self.rng = rng
 
     def choose(self, candidates: Iterable[Candidate], work: Work) -> Candidate | None:
         """Compare the expected finish at every host that isn't suspected."""
@@ -79,7 +79,7 @@
         estimates = [(finish_ms(one, work), one) for one in trusted]
         best = min(estimate for estimate, _ in estimates)
         near_best = [one for estimate, one in estimates if estimate <= best + TIE_MS]
-        return self.dice.choice(near_best)
+        return self.rng.choice(near_best)
 
 
 def way_ms(candidate: Candidate) -> float:
--- a/pollenwalk/policy/placement.py
+++ b/pollenwalk/policy/placement.py
@@ -122,15 +122,15 @@
 class LeastLoaded:
     """Pick the host with the least reported load."""
 
-    def __init__(self, dice: random.Random) -> None:
-        """Break ties by `dice`."""
-        self.dice = dice
+    def __init__(self, rng: random.Random) -> None:
+        """Break ties by `rng`."""
+        self.rng = rng
 
     def choose(self, hosts: Sequence[HostView], need: Need) -> HostView | None:
         """Compare the reports as they are."""
         return min(
             usable(hosts, need),
-            key=lambda host: (host.reported, self.dice.random()),
+            key=lambda host: (host.reported, self.rng.random()),
             default=None,
         )
 
@@ -138,9 +138,9 @@
 class Sticky:
     """Stay with the host that served the program before."""
 
-    def __init__(self, dice: random.Random) -> None:
+    def __init__(self, rng: random.Random) -> None:
         """Begin a program where the reported load is least."""
-        self.fallback = LeastLoaded(dice)
+        self.fallback = LeastLoaded(rng)
 
     def choose(self, hosts: Sequence[HostView], need: Need) -> HostView | None:
         """Pick the host with the most cached tokens."""
@@ -151,12 +151,12 @@
         return max(holding, key=lambda host: need.held[host.sidecar])
 
 
-def make_placement(name: str, dice: random.Random) -> Placement:
+def make_placement(name: str, rng: random.Random) -> Placement:
     """Make the policy of a name.
 
     Args:
         name: as in the settings.
-        dice: the process's source of randomness.
+        rng: the process's source of randomness.
 
     Raises:
         KeyError: there is no such policy.
@@ -164,7 +164,7 @@
     makers: dict[str, Callable[[], Placement]] = {
         'expected-finish': ExpectedFinish,
         'round-robin': RoundRobin,
-        'least-loaded': lambda: LeastLoaded(dice),
-        'sticky': lambda: Sticky(dice),
+        'least-loaded': lambda: LeastLoaded(rng),
+        'sticky': lambda: Sticky(rng),
     }
     return makers[name]()
--- a/pollenwalk/process/beginnings.py
+++ b/pollenwalk/process/beginnings.py
@@ -139,7 +139,7 @@
         """Make a program id that carries its home, this one unless named."""
         return new_program_id(
             incarnation or self.parts.incarnation,
-            self.parts.dice,
+            self.parts.rng,
         )
 
     def begin_new(self, request: BeginProgram, spec: ProgramSpec) -> Beginning:
@@ -218,7 +218,7 @@
                 raise Refusal(
                     RefusalCode.OVERLOADED,
                     f'{name} has too many calls waiting',
-                    retry_after_ms=self.parts.dice.randint(*DOOR_RETRY_MS),
+                    retry_after_ms=self.parts.rng.randint(*DOOR_RETRY_MS),
                 )
 
     def check_parent(self, parent_id: str, limit: int) -> None:
--- a/pollenwalk/process/daemon.py
+++ b/pollenwalk/process/daemon.py
@@ -81,7 +81,7 @@
     store = HttpStore(settings.of('store')['url'])
     hosts_url = settings.of('hosts').get('url')
     hosts = HttpHosts(hosts_url) if hosts_url else None
-    dice = random.Random()
+    rng = random.Random()
     entry = Entry(
         EntrySettings(
             own['address'],
@@ -94,9 +94,9 @@
         GrpcNetwork(),
         store,
         LoopClock(),
-        dice,
+        rng,
         tracer,
-        make_placement(own['placement'], dice),
+        make_placement(own['placement'], rng),
         hosts,
     )
     await entry.start()
--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -91,7 +91,7 @@
         network: Network,
         store: ObjectStore,
         clock: Clock,
-        dice: random.Random,
+        rng: random.Random,
         tracer: Tracer,
         placement: Placement | None = None,
         hosts: HostList | None = None,
@@ -101,7 +101,7 @@
         self.network = network
         self.store = store
         self.clock = clock
-        self.dice = dice
+        self.rng = rng
         self.tracer = tracer
         self.hosts = hosts
         self.placement = placement or ExpectedFinish()
@@ -146,7 +146,7 @@
 
     def incarnate(self) -> None:
         """Begin a new incarnation with no programs."""
-        self.incarnation = f'{self.dice.getrandbits(ID_BITS):012x}'
+        self.incarnation = f'{self.rng.getrandbits(ID_BITS):012x}'
         self.started_ms = self.clock.wall_ms()
         self.peers.identify(self.incarnation, self.settings.zone)
         self.journal = Journal(
@@ -154,7 +154,7 @@
             self.clock,
             self.home_tasks,
             self.incarnation,
-            self.dice,
+            self.rng,
         )
         self.journal.interval_ms = self.settings.journal_interval_ms
         self.journal.pace = Pace(
@@ -169,7 +169,7 @@
         parts = Parts(
             self.incarnation,
             self.clock,
-            self.dice,
+            self.rng,
             self.location,
             self.config,
             self.fleet,
@@ -187,7 +187,7 @@
             self.peers.at,
             self.witness_log,
             self.incarnation,
-            self.dice,
+            self.rng,
         )
         self.adoption = Adoption(
             self.home,
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -80,7 +80,7 @@
         store: ObjectStore,
         network: StreamNetwork,
         clock: Clock,
-        dice: random.Random,
+        rng: random.Random,
     ) -> None:
         """Prepare; nothing is known yet."""
         self.settings = settings
@@ -94,12 +94,12 @@
         placing = Placing(
             clock,
             self.book,
-            EarliestFinish(dice),
+            EarliestFinish(rng),
             settings.zone,
             settings.regions,
         )
         self.metrics = GatewayMetrics()
-        self.upstreams = Upstreams(clock, self.pool, placing, self.metrics, dice)
+        self.upstreams = Upstreams(clock, self.pool, placing, self.metrics, rng)
         self.links = KeeperLinks(
             network,
             clock,
--- a/pollenwalk/process/ids.py
+++ b/pollenwalk/process/ids.py
@@ -9,9 +9,9 @@
 PREFIX = 'p'
 
 
-def new_program_id(incarnation: str, dice: random.Random) -> str:
+def new_program_id(incarnation: str, rng: random.Random) -> str:
     """Make the id of a program whose home is an incarnation."""
-    return f'{PREFIX}-{incarnation}-{dice.getrandbits(ID_BITS):016x}'
+    return f'{PREFIX}-{incarnation}-{rng.getrandbits(ID_BITS):016x}'
 
 
 def home_of(program_id: str) -> str:
--- a/pollenwalk/process/journal.py
+++ b/pollenwalk/process/journal.py
@@ -68,10 +68,10 @@
         clock: Clock,
         tasks: TaskSet,
         incarnation: str,
-        dice: random.Random,
+        rng: random.Random,
     ) -> None:
         """Prepare the journal of a fresh incarnation."""
-        self.dice = dice
+        self.rng = rng
         self.store = store
         self.clock = clock
         self.tasks = tasks
@@ -185,7 +185,7 @@
         """Create the next segment, however often its answer is lost."""
         self.proposed = list(self.wanted)
         segment = Segment(
-            make_nonce(self.dice),
+            make_nonce(self.rng),
             self.base + 1,
             [batch.body for batch in batches],
             self.proposed,
--- a/pollenwalk/process/sidecar.py
+++ b/pollenwalk/process/sidecar.py
@@ -65,7 +65,7 @@
         network: Network,
         clock: Clock,
         upstream: Engine | Service,
-        dice: random.Random,
+        rng: random.Random,
         tracer: Tracer,
     ) -> None:
         """Stand beside `upstream`; nothing is started yet."""
@@ -73,7 +73,7 @@
         self.network = network
         self.clock = clock
         self.tasks = TaskSet()
-        self.boot = f'{dice.getrandbits(ID_BITS):016x}'
+        self.boot = f'{rng.getrandbits(ID_BITS):016x}'
         self.work = UpstreamCalls(upstream, clock, self.tasks, tracer)
         self.service = SidecarService(self)
         self.server = PeerServer(
--- a/pollenwalk/process/store.py
+++ b/pollenwalk/process/store.py
@@ -78,9 +78,9 @@
         """
 
 
-def make_nonce(dice: random.Random) -> str:
+def make_nonce(rng: random.Random) -> str:
     """Make an id that no other process makes."""
-    return f'{dice.getrandbits(NONCE_BITS):016x}'
+    return f'{rng.getrandbits(NONCE_BITS):016x}'
 
 
 class Backoff:
--- a/pollenwalk/process/takeover.py
+++ b/pollenwalk/process/takeover.py
@@ -56,10 +56,10 @@
         peers: PeerSource,
         witness_log: WitnessLog,
         successor: str,
-        dice: random.Random,
+        rng: random.Random,
     ) -> None:
         """Prepare to act for the incarnation `successor`."""
-        self.dice = dice
+        self.rng = rng
         self.store = store
         self.clock = clock
         self.peers = peers
@@ -92,7 +92,7 @@
             Whether the seal is ours.
         """
         seal = Segment(
-            make_nonce(self.dice),
+            make_nonce(self.rng),
             content.last_batch + 1,
             [],
             content.witnesses,
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -190,7 +190,7 @@
                 retry_after_ms=RETRY_AFTER_MS,
             )
         await self.parts.clock.sleep_ms(
-            pause_ms(self.call.attempts, self.parts.dice),
+            pause_ms(self.call.attempts, self.parts.rng),
         )
 
     def note_held(self, host: HostView) -> None:
--- a/pollenwalk/request/parts.py
+++ b/pollenwalk/request/parts.py
@@ -18,7 +18,7 @@
 
     incarnation: str
     clock: Clock
-    dice: random.Random
+    rng: random.Random
     location: Location
     config: Configuration
     fleet: Fleet
--- a/pollenwalk/request/retry.py
+++ b/pollenwalk/request/retry.py
@@ -45,15 +45,15 @@
         return self.budgets.setdefault((caller, upstream), RetryBudget())
 
 
-def pause_ms(attempt: int, dice: random.Random) -> float:
+def pause_ms(attempt: int, rng: random.Random) -> float:
     """Draw the pause before a retry, with full jitter.
 
     Args:
         attempt: how many attempts have failed, from 1 on.
-        dice: the process's source of randomness.
+        rng: the process's source of randomness.
 
     Returns:
         Milliseconds to wait.
     """
     ceiling = min(FIRST_PAUSE_MS * BACKOFF ** (attempt - 1), LAST_PAUSE_MS)
-    return dice.uniform(0, ceiling)
+    return rng.uniform(0, ceiling)
--- a/pollenwalk/request/sends.py
+++ b/pollenwalk/request/sends.py
@@ -45,7 +45,7 @@
     pool: LinkPool
     placing: Placing
     metrics: GatewayMetrics
-    dice: random.Random
+    rng: random.Random
 
 
 class Sends:
@@ -81,7 +81,7 @@
         if may_begin(wait_ms, call.route.target_ms, call.route.priority):
             return
         rest_ms = call.rest_ms(self.upstreams.clock.now_ms())
-        retry_after_ms = return_after_ms(rest_ms, self.upstreams.dice)
+        retry_after_ms = return_after_ms(rest_ms, self.upstreams.rng)
         logger.info(
             'turned_back',
             request=call.id,
--- a/standin/caller.py
+++ b/standin/caller.py
@@ -80,16 +80,16 @@
 )
 
 
-def steps_of(story: Story, dice: random.Random) -> Iterator[Step]:
+def steps_of(story: Story, rng: random.Random) -> Iterator[Step]:
     """Draw a program: its shape is known only as it runs."""
-    turns = dice.randint(*story.turns)
+    turns = rng.randint(*story.turns)
     for turn in range(turns):
-        tokens = 4 + min(int(dice.expovariate(1 / 12)), 60)
-        pause_ms = dice.expovariate(1 / story.pause_ms)
-        child = dice.random() < CHILD_CHANCE
+        tokens = 4 + min(int(rng.expovariate(1 / 12)), 60)
+        pause_ms = rng.expovariate(1 / story.pause_ms)
+        child = rng.random() < CHILD_CHANCE
         yield Step(story.model, 'chat', tokens, pause_ms, child)
         yield Step(story.plain, 'lookup', 0, 0)
-        if dice.random() < 0.7:
+        if rng.random() < 0.7:
             yield Step(story.plain, story.orders[turn % len(story.orders)], 0, 0)
 
 
@@ -146,14 +146,14 @@
         name: str,
         door: Door,
         clock: Clock,
-        dice: random.Random,
+        rng: random.Random,
         tally: Tally,
     ) -> None:
         """Run under a name that no other caller has."""
         self.name = name
         self.door = door
         self.clock = clock
-        self.dice = dice
+        self.rng = rng
         self.tally = tally
         self.program = ''
         self.sequence = 0
@@ -195,7 +195,7 @@
         self.program = view['id']
         self.tally.programs.append(self.program)
         self.tally.budgets[self.program] = view['budget']['limit']
-        for step in steps_of(story, self.dice):
+        for step in steps_of(story, self.rng):
             if step.child and parent is None:
                 await self.run_child(story)
             await self.make_call(step)
@@ -216,7 +216,7 @@
     async def run_child(self, story: Story) -> None:
         """Run a sub-agent of the same kind, with a share of the budget."""
         name = f'{self.name}.{self.sequence}'
-        child = Caller(name, self.door, self.clock, self.dice, self.tally)
+        child = Caller(name, self.door, self.clock, self.rng, self.tally)
         small = story._replace(turns=(1, 1))
         await child.run(small, self.program)
 
@@ -226,7 +226,7 @@
         tag = f'{self.name}#{self.sequence}'
         argument: dict[str, Any] = {'tag': tag}
         if step.operation == 'chat':
-            words = ' '.join(f'w{number}' for number in range(self.dice.randint(3, 9)))
+            words = ' '.join(f'w{number}' for number in range(self.rng.randint(3, 9)))
             argument = {'message': f'tag:{tag} {words}', 'max_tokens': step.tokens}
         spec = CallSpec(
             self.program,
--- a/standin/demo.py
+++ b/standin/demo.py
@@ -95,17 +95,17 @@
     """
     system = System(BOTH, seed, EngineShape())
     await system.start([free_port(), free_port()])
-    dice = random.Random(seed)
+    rng = random.Random(seed)
     door = HttpDoor(system.urls, random.Random(seed))
     tally = Tally(system.ledger)
     running = []
     for number in range(programs):
         for story in (SPARES, TEA_CHEST):
             name = f'{story.declaration}-{number}'
-            own_dice = random.Random(f'{seed}/{name}')
-            caller = Caller(name, door, system.clock, own_dice, tally)
+            own_rng = random.Random(f'{seed}/{name}')
+            caller = Caller(name, door, system.clock, own_rng, tally)
             running.append(asyncio.ensure_future(caller.run(story)))
-            await system.clock.sleep_ms(dice.expovariate(1 / ARRIVAL_MS))
+            await system.clock.sleep_ms(rng.expovariate(1 / ARRIVAL_MS))
     await asyncio.gather(*running)
     await wait_released(system, tally)
     report = judge(system, tally)
--- a/standin/door.py
+++ b/standin/door.py
@@ -54,10 +54,10 @@
 class HttpDoor:
     """The callers' API of several entries, as behind a balancer."""
 
-    def __init__(self, urls: Sequence[str], dice: random.Random) -> None:
-        """Pick an entry by `dice` for each request."""
+    def __init__(self, urls: Sequence[str], rng: random.Random) -> None:
+        """Pick an entry by `rng` for each request."""
         self.urls = list(urls)
-        self.dice = dice
+        self.rng = rng
         self.session = aiohttp.ClientSession(
             timeout=aiohttp.ClientTimeout(total=TIMEOUT_S),
             connector=aiohttp.TCPConnector(limit=0),
@@ -69,7 +69,7 @@
 
     async def ask(self, method: str, path: str, **options: Any) -> dict[str, Any]:
         """Make one request at one entry."""
-        url = self.dice.choice(self.urls)
+        url = self.rng.choice(self.urls)
         try:
             async with self.session.request(
                 method,
@@ -101,7 +101,7 @@
             'input': spec.argument,
         }
         path = f'/v1/programs/{spec.program}/calls'
-        url = self.dice.choice(self.urls)
+        url = self.rng.choice(self.urls)
         try:
             async with self.session.post(
                 f'{url}{path}',
--- a/standin/experiments/placement.py
+++ b/standin/experiments/placement.py
@@ -101,12 +101,12 @@
         return path_ms(host, need) + queue_ms + prefill_ms
 
 
-def make_policy(name: str, world: World, dice: random.Random) -> Placement:
+def make_policy(name: str, world: World, rng: random.Random) -> Placement:
     """Make a policy of a name."""
     makers: dict[str, Callable[[], Placement]] = {
         'round-robin': RoundRobin,
-        'least-loaded': lambda: LeastLoaded(dice),
-        'sticky': lambda: Sticky(dice),
+        'least-loaded': lambda: LeastLoaded(rng),
+        'sticky': lambda: Sticky(rng),
         OURS: ExpectedFinish,
         ORACLE: lambda: Oracle(world),
     }
@@ -155,7 +155,7 @@
 
 async def drive(world: World, load: float, seed: int) -> Tally:
     """Begin programs at the rate that makes the load, and wait for all."""
-    dice = random.Random(f'arrivals/{seed}/{load}')
+    rng = random.Random(f'arrivals/{seed}/{load}')
     door = WorldDoor(world, random.Random(seed))
     tally = Tally(world.ledger)
     rate = load * PROGRAMS_PER_ENGINE_SECOND * len(MODELS)
@@ -166,7 +166,7 @@
         number += 1
         caller = Caller(name, door, world.clock, random.Random(f'{seed}/{name}'), tally)
         running.append(asyncio.ensure_future(caller.run(STORY)))
-        await world.clock.sleep_ms(dice.expovariate(rate / MS_PER_SECOND))
+        await world.clock.sleep_ms(rng.expovariate(rate / MS_PER_SECOND))
     await asyncio.gather(*running)
     return tally
 
--- a/standin/experiments/slopes.py
+++ b/standin/experiments/slopes.py
@@ -230,34 +230,34 @@
 
 async def program_memory(rig: Rig) -> Line:
     """Measure resident memory against programs with some history."""
-    dice = random.Random(1)
+    rng = random.Random(1)
     points = []
     made = 0
     async with aiohttp.ClientSession() as session:
         for count in PROGRAMS:
             while made < count:
                 await asyncio.gather(
-                    *(remember(rig, session, dice) for _ in range(TOGETHER)),
+                    *(remember(rig, session, rng) for _ in range(TOGETHER)),
                 )
                 made += TOGETHER
             points.append((float(count), await rig.memory()))
     return fit(points)
 
 
-def make_message(dice: random.Random) -> str:
+def make_message(rng: random.Random) -> str:
     """Make a message of many words."""
-    words = (f'{dice.getrandbits(32):08x}' for _ in range(HISTORY_WORDS))
+    words = (f'{rng.getrandbits(32):08x}' for _ in range(HISTORY_WORDS))
     return ' '.join(words)
 
 
 async def remember(
     rig: Rig,
     session: aiohttp.ClientSession,
-    dice: random.Random,
+    rng: random.Random,
 ) -> None:
     """Begin a program and make one call with a long input."""
     program = await begin(rig, session)
-    await reserve(rig, session, program, 1, make_message(dice))
+    await reserve(rig, session, program, 1, make_message(rng))
 
 
 async def resource_memory(rig: Rig) -> Line:
--- a/standin/load.py
+++ b/standin/load.py
@@ -16,13 +16,13 @@
 BURST = 20
 
 
-def gaps_ms(arrival: str, rate: float, dice: random.Random) -> Iterator[float]:
+def gaps_ms(arrival: str, rate: float, rng: random.Random) -> Iterator[float]:
     """Draw the pauses between beginnings, for ever.
 
     Args:
         arrival: 'poisson', 'steady' or 'burst'.
         rate: beginnings a second on average.
-        dice: the source of randomness.
+        rng: the source of randomness.
 
     Yields:
         Milliseconds.
@@ -32,16 +32,16 @@
     while True:
         number += 1
         if arrival == 'poisson':
-            yield dice.expovariate(1 / mean_ms)
+            yield rng.expovariate(1 / mean_ms)
         elif arrival == 'steady':
             yield mean_ms
         else:
             yield 0 if number % BURST else mean_ms * BURST
 
 
-def pick_story(share: float, dice: random.Random) -> Story:
+def pick_story(share: float, rng: random.Random) -> Story:
     """Draw a program's kind."""
-    return SPARES if dice.random() < share else TEA_CHEST
+    return SPARES if rng.random() < share else TEA_CHEST
 
 
 async def run_programs(options: dict[str, Any]) -> dict[str, Any]:
@@ -53,16 +53,16 @@
     Returns:
         The figures as JSON.
     """
-    dice = random.Random(options['seed'])
+    rng = random.Random(options['seed'])
     clock = LoopClock()
     tally = Tally(Ledger())
     door = HttpDoor(options['entries'], random.Random(options['seed']))
     progress = asyncio.ensure_future(show_progress(tally, clock))
     begun_ms = clock.now_ms()
     running = []
-    gaps = gaps_ms(options['arrival'], options['rate'], dice)
+    gaps = gaps_ms(options['arrival'], options['rate'], rng)
     for number in range(options['programs']):
-        story = pick_story(options['spares_share'], dice)
+        story = pick_story(options['spares_share'], rng)
         name = f'load-{options["seed"]}-{number}'
         caller = Caller(name, door, clock, random.Random(name), tally)
         running.append(asyncio.ensure_future(caller.run(story)))
--- a/standin/system.py
+++ b/standin/system.py
@@ -73,7 +73,7 @@
     def __init__(self, layout: Layout, seed: int, shape: EngineShape) -> None:
         """Prepare; nothing is started yet."""
         self.layout = layout
-        self.dice = random.Random(seed)
+        self.rng = random.Random(seed)
         self.shape = shape
         self.clock = LoopClock()
         self.ledger = Ledger()
@@ -127,9 +127,9 @@
         """Give the network as seen from a zone."""
         return LinkedNetwork(self.network, self.map, self.place(zone), self.clock)
 
-    def new_dice(self) -> random.Random:
+    def new_rng(self) -> random.Random:
         """Give a process its own randomness."""
-        return random.Random(self.dice.getrandbits(64))
+        return random.Random(self.rng.getrandbits(64))
 
     async def start_entry(
         self,
@@ -153,7 +153,7 @@
             self.linked(zone),
             store,
             self.clock,
-            self.new_dice(),
+            self.new_rng(),
             Tracer(),
         )
         await entry.start()
@@ -206,7 +206,7 @@
             self.linked(zone),
             self.clock,
             client,
-            self.new_dice(),
+            self.new_rng(),
             Tracer(),
         )
         await sidecar.start()
--- a/standin/virtual/world.py
+++ b/standin/virtual/world.py
@@ -79,7 +79,7 @@
     def __init__(self, shape: Shape) -> None:
         """Prepare; `start` brings it up."""
         self.shape = shape
-        self.dice = random.Random(shape.seed)
+        self.rng = random.Random(shape.seed)
         self.fabric = Fabric()
         self.outside = Node('outside', Place(STORE_ZONE, REGIONS[STORE_ZONE]))
         self.store_node = Node('store', self.outside.place)
@@ -136,7 +136,7 @@
             VirtualNetwork(self.fabric, node),
             store,
             NodeClock(node),
-            random.Random(self.dice.getrandbits(64)),
+            random.Random(self.rng.getrandbits(64)),
             Tracer(),
             None,
             self.hosts,
@@ -174,7 +174,7 @@
             VirtualNetwork(self.fabric, node),
             NodeClock(node),
             self.upstream(name, node),
-            random.Random(self.dice.getrandbits(64)),
+            random.Random(self.rng.getrandbits(64)),
             Tracer(),
         )
         self.sidecars[name] = SidecarProcess(node, sidecar)
@@ -257,10 +257,10 @@
 class WorldDoor:
     """Callers' way into a world, as behind the platform's balancer."""
 
-    def __init__(self, world: World, dice: random.Random) -> None:
+    def __init__(self, world: World, rng: random.Random) -> None:
         """Pick among the entries that the balancer believes alive."""
         self.world = world
-        self.dice = dice
+        self.rng = rng
         self.reachable: list[str] | None = None
 
     def pick(self) -> EntryProcess:
@@ -273,7 +273,7 @@
         ]
         if not alive:
             raise ConnectionLost('no entry is alive')
-        return self.dice.choice(alive)
+        return self.rng.choice(alive)
 
     async def through(self, process: EntryProcess, work: Work) -> Any:
         """Run a request inside an entry, cut short when that is killed.
--- a/test/policy/test_program_door.py
+++ b/test/policy/test_program_door.py
@@ -58,10 +58,10 @@
 class Hosts:
     """Hosts with one queue, and the programs that they serve."""
 
-    def __init__(self, door: Door, dice: random.Random) -> None:
+    def __init__(self, door: Door, rng: random.Random) -> None:
         """Start idle."""
         self.door = door
-        self.dice = dice
+        self.rng = rng
         self.running = 0
         self.queue: deque[Program] = deque()
         self.events: list[Event] = []
@@ -89,7 +89,7 @@
         if self.door(wait_ms):
             self.turn(now_ms, program)
         elif program.tries < TRIES:
-            back_ms = now_ms + return_after_ms(CALLER_MS, self.dice)
+            back_ms = now_ms + return_after_ms(CALLER_MS, self.rng)
             self.at(back_ms, self.first, program._replace(tries=program.tries + 1))
         else:
             self.refused += 1
@@ -116,13 +116,13 @@
         self.in_time += took_ms <= idle_ms * TIME_FACTOR + TARGET_MS
 
 
-def arrivals(load: float, burst: float, dice: random.Random) -> Iterator[float]:
+def arrivals(load: float, burst: float, rng: random.Random) -> Iterator[float]:
     """Draw when programs come, for a share of what the hosts can run."""
     now_ms = 0.0
     capacity = SLOTS / RUN_MS / TURNS
     while now_ms < END_MS:
         now_share = burst if BURST_MS[0] <= now_ms < BURST_MS[1] else load
-        now_ms += dice.expovariate(capacity * now_share)
+        now_ms += rng.expovariate(capacity * now_share)
         yield now_ms
 
 
@@ -161,7 +161,7 @@
         self.assertFalse(may_begin(TARGET_MS, TARGET_MS, 1))
 
     def test_returns_are_spread_within_the_time_left(self) -> None:
-        dice = random.Random(1)
-        returns = [return_after_ms(CALLER_MS, dice) for _ in range(100)]
+        rng = random.Random(1)
+        returns = [return_after_ms(CALLER_MS, rng) for _ in range(100)]
         self.assertTrue(max(returns) <= CALLER_MS / 3)
         self.assertTrue(max(returns) - min(returns) > CALLER_MS / 20)
--- a/test/process/test_keepers.py
+++ b/test/process/test_keepers.py
@@ -359,13 +359,13 @@
 
     @virtual
     async def test_any_two_majorities_share_a_keeper(self) -> None:
-        dice = random.Random(5)
+        rng = random.Random(5)
         for _ in range(20):
             world = World()
             await world.three()
             group = world.group()
             await world.wait(500)
-            victims = dice.sample('abc', 2)
+            victims = rng.sample('abc', 2)
             world.fabric.cut('gateway', victims[0])
             await self.reserve(group, 't1')
             world.fabric.heal()
--- a/test/process/test_limits.py
+++ b/test/process/test_limits.py
@@ -74,9 +74,9 @@
         self.assertEqual(4, sum(budget.spend() for _ in range(100)))
 
     def test_pauses_grow_within_bounds(self) -> None:
-        dice = random.Random(1)
+        rng = random.Random(1)
         for attempt, ceiling in ((1, 50), (2, 100), (4, 400), (20, 2000)):
-            pauses = [pause_ms(attempt, dice) for _ in range(200)]
+            pauses = [pause_ms(attempt, rng) for _ in range(200)]
             self.assertLessEqual(max(pauses), ceiling)
             self.assertGreater(max(pauses), ceiling * 0.9)
 
--- a/test/program/test_budget_rounds.py
+++ b/test/program/test_budget_rounds.py
@@ -106,22 +106,22 @@
     return list(pairs) * ROUNDS
 
 
-def neighbours(order: list[Step], dice: random.Random) -> Iterator[list[Step]]:
+def neighbours(order: list[Step], rng: random.Random) -> Iterator[list[Step]]:
     """Move one answer elsewhere."""
     while True:
         other = list(order)
-        moved = other.pop(dice.randrange(len(other)))
-        other.insert(dice.randrange(len(order)), moved)
+        moved = other.pop(rng.randrange(len(other)))
+        other.insert(rng.randrange(len(order)), moved)
         yield other
 
 
-def worst(game: Game, dice: random.Random) -> int:
+def worst(game: Game, rng: random.Random) -> int:
     """Search for an order in which much runs; give the tokens."""
     order = steps(game)
-    dice.shuffle(order)
+    rng.shuffle(order)
     most = running(game, order)
     for _ in range(CLIMB):
-        other = next(neighbours(order, dice))
+        other = next(neighbours(order, rng))
         found = running(game, other)
         if found >= most:
             most = found
@@ -129,14 +129,14 @@
     return most
 
 
-def games(dice: random.Random, count: int, rule: Rule) -> Iterator[Game]:
+def games(rng: random.Random, count: int, rule: Rule) -> Iterator[Game]:
     """Draw sizes, turns and budgets."""
     for _ in range(count):
-        most = [dice.randint(1, 3) for _ in range(dice.randint(2, 11))]
-        if dice.random() < 0.5:
+        most = [rng.randint(1, 3) for _ in range(rng.randint(2, 11))]
+        if rng.random() < 0.5:
             most = [1 for _ in most]
-        budget = dice.randint(1, sum(most))
-        yield Game(dice.choice((2, 3, 3, 5, 8)), most, budget, rule)
+        budget = rng.randint(1, sum(most))
+        yield Game(rng.choice((2, 3, 3, 5, 8)), most, budget, rule)
 
 
 def four_turns_of_room(verdict: Verdict, most: int, budget: int, _: Heard) -> bool:
@@ -154,10 +154,10 @@
 
     def excess(self, seed: int, count: int, rule: Rule) -> int:
         """Give by how much the worst order found goes beyond what is allowed."""
-        dice = random.Random(seed)
+        rng = random.Random(seed)
         return max(
-            worst(game, dice) - game.budget - max(game.most)
-            for game in games(dice, count, rule)
+            worst(game, rng) - game.budget - max(game.most)
+            for game in games(rng, count, rule)
         )
 
     def test_searched_orders_stay_within_the_bound(self) -> None:
