--- a/pollenwalk/policy/door.py
+++ b/pollenwalk/policy/program_admission.py
@@ -22,7 +22,7 @@
 LAST_RETURN_SHARE = 0.32
 
 
-def has_room(hosts: Sequence[HostView], level: int) -> bool:
+def has_capacity(hosts: Sequence[HostView], level: int) -> bool:
     """Tell whether an upstream can take one more program.
 
     Args:
@@ -40,7 +40,7 @@
     return waiting < max(wished, LEAST_PER_SLOT) * slots
 
 
-def may_begin(wait_ms: float, target_ms: float, priority: int) -> bool:
+def is_wait_acceptable(wait_ms: float, target_ms: float, priority: int) -> bool:
     """Tell whether a program may begin at a gateway that places calls itself.
 
     Answers bursts a little beyond what the hosts can run: where all programs
@@ -54,7 +54,7 @@
     return wait_ms <= target_ms * WAIT_SHARE / (1 + priority)
 
 
-def return_after_ms(rest_ms: float, rng: random.Random) -> float:
+def retry_delay_ms(rest_ms: float, rng: random.Random) -> float:
     """Tell a caller that was turned back when to come again.
 
     Args:
--- a/pollenwalk/process/beginnings.py
+++ b/pollenwalk/process/beginnings.py
@@ -5,7 +5,7 @@
 
 from pollenwalk.connection.wire import BeginProgram
 from pollenwalk.errors import Refusal, RefusalCode
-from pollenwalk.policy.door import has_room
+from pollenwalk.policy.program_admission import has_capacity
 from pollenwalk.process.home_work import HomeWork
 from pollenwalk.process.ids import new_program_id
 from pollenwalk.process.recorder import store_unavailable
@@ -17,7 +17,7 @@
 
 BEGIN_WAIT_MS = 2000
 RETRY_AFTER_MS = 1000
-DOOR_RETRY_MS = (500, 2000)
+ADMISSION_RETRY_MS = (500, 2000)
 KEY_RETAIN_MS = 600_000
 
 
@@ -214,11 +214,11 @@
         for name in spec.upstreams:
             upstream = self.parts.config.upstream(name)
             hosts = self.parts.fleet.views(name)
-            if upstream and upstream.kind == 'model' and not has_room(hosts, level):
+            if upstream and upstream.kind == 'model' and not has_capacity(hosts, level):
                 raise Refusal(
                     RefusalCode.OVERLOADED,
                     f'{name} has too many calls waiting',
-                    retry_after_ms=self.parts.rng.randint(*DOOR_RETRY_MS),
+                    retry_after_ms=self.parts.rng.randint(*ADMISSION_RETRY_MS),
                 )
 
     def check_parent(self, parent_id: str, limit: int) -> None:
--- a/pollenwalk/request/sends.py
+++ b/pollenwalk/request/sends.py
@@ -19,8 +19,8 @@
     RefusalCode,
 )
 from pollenwalk.platform.headers import resume_header, sent_headers
-from pollenwalk.policy.door import may_begin, return_after_ms
 from pollenwalk.policy.host_choice import Work
+from pollenwalk.policy.program_admission import is_wait_acceptable, retry_delay_ms
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.gateway_metrics import GatewayMetrics
 from pollenwalk.process.host_book import HostState
@@ -69,7 +69,7 @@
         self.waited = False
         self.tried: set[str] = set()
 
-    def check_door(self) -> None:
+    def check_program_admission(self) -> None:
         """Turn a program back before any work is done for it.
 
         Raises:
@@ -78,10 +78,10 @@
         call = self.call
         placing = self.upstreams.placing
         wait_ms = placing.least_wait_ms(call, self.work)
-        if may_begin(wait_ms, call.route.target_ms, call.route.priority):
+        if is_wait_acceptable(wait_ms, call.route.target_ms, call.route.priority):
             return
         rest_ms = call.rest_ms(self.upstreams.clock.now_ms())
-        retry_after_ms = return_after_ms(rest_ms, self.upstreams.rng)
+        retry_after_ms = retry_delay_ms(rest_ms, self.upstreams.rng)
         logger.info(
             'turned_back',
             request=call.id,
--- a/pollenwalk/request/streamed.py
+++ b/pollenwalk/request/streamed.py
@@ -79,7 +79,7 @@
         body = await turn.prepare()
         sends = Sends(upstreams, call, body)
         if turn.begins_program:
-            sends.check_door()
+            sends.check_program_admission()
         await StreamRun(sends, call, turn, reply).run()
     finally:
         turn.close()
--- a/test/policy/test_policies.py
+++ b/test/policy/test_policies.py
@@ -1,4 +1,4 @@
-"""Placement, admission and the door, case by case."""
+"""Placement, program admission and the queue for slots, case by case."""
 
 import asyncio
 import random
@@ -8,8 +8,8 @@
 
 from pollenwalk.errors import Refusal
 from pollenwalk.policy.admission import Admission
-from pollenwalk.policy.door import has_room
 from pollenwalk.policy.placement import HostView, Need, make_placement
+from pollenwalk.policy.program_admission import has_capacity
 from test.helper import make_clock, virtual
 
 NEED = Need('p', 'rimouski', 'est', 200, {}, 400.0, 0.5)
@@ -83,7 +83,7 @@
             self.assertIsNone(policy.choose((), NEED), name)
 
 
-class DoorTest(testtools.TestCase):
+class ProgramAdmissionTest(testtools.TestCase):
     """Whether a new program may begin."""
 
     def test_room_by_load_and_level(self) -> None:
@@ -96,9 +96,9 @@
             (6, 9, False),
             (4, 9, True),
         ):
-            found = has_room([IDLE._replace(ahead=ahead)], level)
+            found = has_capacity([IDLE._replace(ahead=ahead)], level)
             self.assertEqual(room, found, (ahead, level))
-        self.assertTrue(has_room([], 5))
+        self.assertTrue(has_capacity([], 5))
 
 
 class AdmissionTest(testtools.TestCase):
--- a/test/policy/test_program_door.py
+++ b/test/policy/test_program_admission.py
@@ -8,7 +8,7 @@
 
 import testtools
 
-from pollenwalk.policy.door import may_begin, return_after_ms
+from pollenwalk.policy.program_admission import is_wait_acceptable, retry_delay_ms
 
 SLOTS = 32
 RUN_MS = 200.0
@@ -23,7 +23,7 @@
 BURST_MS = (3000.0, 8000.0)
 END_MS = 15_000.0
 
-Door = Callable[[float], bool]
+AdmissionRule = Callable[[float], bool]
 Step = Callable[..., None]
 Event = tuple[float, int, Step, 'Program']
 
@@ -58,9 +58,9 @@
 class Hosts:
     """Hosts with one queue, and the programs that they serve."""
 
-    def __init__(self, door: Door, rng: random.Random) -> None:
+    def __init__(self, rule: AdmissionRule, rng: random.Random) -> None:
         """Start idle."""
-        self.door = door
+        self.rule = rule
         self.rng = rng
         self.running = 0
         self.queue: deque[Program] = deque()
@@ -86,10 +86,10 @@
     def first(self, now_ms: float, program: Program) -> None:
         """Let a program in, or tell it when to come again."""
         wait_ms = (len(self.queue) + 1) * RUN_MS / SLOTS if self.queue else 0
-        if self.door(wait_ms):
+        if self.rule(wait_ms):
             self.turn(now_ms, program)
         elif program.tries < TRIES:
-            back_ms = now_ms + return_after_ms(CALLER_MS, self.rng)
+            back_ms = now_ms + retry_delay_ms(CALLER_MS, self.rng)
             self.at(back_ms, self.first, program._replace(tries=program.tries + 1))
         else:
             self.refused += 1
@@ -126,42 +126,42 @@
         yield now_ms
 
 
-def door(wait_ms: float) -> bool:
+def admit_by_policy(wait_ms: float) -> bool:
     """Ask the policy."""
-    return may_begin(wait_ms, TARGET_MS, PRIORITY)
+    return is_wait_acceptable(wait_ms, TARGET_MS, PRIORITY)
 
 
-def always_open(_: float) -> bool:
+def admit_all(_: float) -> bool:
     """Let everybody in."""
     return True
 
 
-class ProgramDoorTest(testtools.TestCase):
-    """What callers get with the door and without it."""
+class ProgramAdmissionTest(testtools.TestCase):
+    """Compare what callers get with and without program admission."""
 
-    def play(self, policy: Door, load: float, burst: float) -> Tally:
+    def play(self, policy: AdmissionRule, load: float, burst: float) -> Tally:
         """Play the same arrivals with one policy."""
         found = list(arrivals(load, burst, random.Random(7)))
         return Hosts(policy, random.Random(8)).run(found)
 
     def test_a_burst_beyond_capacity(self) -> None:
-        without = self.play(always_open, 0.4, 1.3)
-        held = self.play(door, 0.4, 1.3)
+        without = self.play(admit_all, 0.4, 1.3)
+        held = self.play(admit_by_policy, 0.4, 1.3)
         self.assertTrue(held.share > without.share + 0.1, (held, without))
         self.assertEqual(0, held.refused)
 
     def test_nobody_is_turned_back_below_capacity(self) -> None:
         self.assertEqual(
-            self.play(always_open, 0.4, 0.8),
-            self.play(door, 0.4, 0.8),
+            self.play(admit_all, 0.4, 0.8),
+            self.play(admit_by_policy, 0.4, 0.8),
         )
 
     def test_urgent_programs_wait_longer(self) -> None:
-        self.assertTrue(may_begin(TARGET_MS, TARGET_MS, 0))
-        self.assertFalse(may_begin(TARGET_MS, TARGET_MS, 1))
+        self.assertTrue(is_wait_acceptable(TARGET_MS, TARGET_MS, 0))
+        self.assertFalse(is_wait_acceptable(TARGET_MS, TARGET_MS, 1))
 
     def test_returns_are_spread_within_the_time_left(self) -> None:
         rng = random.Random(1)
-        returns = [return_after_ms(CALLER_MS, rng) for _ in range(100)]
+        returns = [retry_delay_ms(CALLER_MS, rng) for _ in range(100)]
         self.assertTrue(max(returns) <= CALLER_MS / 3)
         self.assertTrue(max(returns) - min(returns) > CALLER_MS / 20)
--- a/test/request/test_forwarding.py
+++ b/test/request/test_forwarding.py
@@ -223,7 +223,7 @@
         self.begins_program = True
 
 
-class DoorTest(testtools.TestCase):
+class ProgramAdmissionTest(testtools.TestCase):
     """Programs that begin while the only host is busy, or idle."""
 
     async def begin(self, turn: UnboundTurn, waiting: int) -> tuple[Any, Any, Any]:
