--- a/pollenwalk/policy/host_choice.py
+++ b/pollenwalk/policy/host_choice.py
@@ -5,8 +5,8 @@
 from typing import NamedTuple, Protocol
 
 # The way to a host and back, in ms, where nothing else is known.
-NEAR_WAY_MS = 1.0
-FAR_WAY_MS = 60.0
+SAME_REGION_ROUND_TRIP_MS = 1.0
+CROSS_REGION_ROUND_TRIP_MS = 60.0
 # Estimates closer than this are as good as equal; choosing at random among
 # them keeps several gateways from going the same way at once.
 TIE_MS = 4.0
@@ -82,11 +82,15 @@
         return self.rng.choice(near_best)
 
 
-def way_ms(candidate: Candidate) -> float:
+def round_trip_ms(candidate: Candidate) -> float:
     """Give the way to a host and back, beyond what the nearest one has."""
     if candidate.same_zone:
         return 0
-    return NEAR_WAY_MS if candidate.same_region else FAR_WAY_MS
+    return (
+        SAME_REGION_ROUND_TRIP_MS
+        if candidate.same_region
+        else CROSS_REGION_ROUND_TRIP_MS
+    )
 
 
 def wait_ms(candidate: Candidate, work: Work) -> float:
@@ -102,5 +106,5 @@
     crowding_ms = work.run_ms * CROWDING * min(share, 1)
     unread = max(work.prompt_tokens - candidate.cached_tokens, 0)
     reading_ms = unread * work.read_ms_per_token
-    waits_ms = way_ms(candidate) + wait_ms(candidate, work)
+    waits_ms = round_trip_ms(candidate) + wait_ms(candidate, work)
     return waits_ms + crowding_ms + reading_ms
--- a/pollenwalk/policy/placement.py
+++ b/pollenwalk/policy/placement.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple, Protocol
 
-ZONE_PATH_MS = 1.0
-REGION_PATH_MS = 60.0
+SAME_REGION_ROUND_TRIP_MS = 1.0
+CROSS_REGION_ROUND_TRIP_MS = 60.0
 PREFILL_WEIGHT = 30.0
 
 
@@ -62,11 +62,11 @@
         """Pick one of the hosts; None when there is none to pick."""
 
 
-def path_ms(host: HostView, need: Need) -> float:
+def round_trip_ms(host: HostView, need: Need) -> float:
     """Estimate the way to a host and back."""
     if host.region != need.region:
-        return REGION_PATH_MS
-    return 0 if host.zone == need.zone else ZONE_PATH_MS
+        return CROSS_REGION_ROUND_TRIP_MS
+    return 0 if host.zone == need.zone else SAME_REGION_ROUND_TRIP_MS
 
 
 def usable(hosts: Sequence[HostView], need: Need) -> Sequence[HostView]:
@@ -100,7 +100,7 @@
         prefill = max(need.prompt_tokens - cached, 0) * need.prefill_ms
         excess = max(host.ahead + 1 - host.slots, 0)
         wait = excess * need.answer_ms / max(host.slots, 1)
-        return path_ms(host, need) + wait + prefill * self.prefill_weight
+        return round_trip_ms(host, need) + wait + prefill * self.prefill_weight
 
 
 class RoundRobin:
--- a/pollenwalk/process/placing.py
+++ b/pollenwalk/process/placing.py
@@ -4,8 +4,8 @@
     Candidate,
     HostChoice,
     Work,
+    round_trip_ms,
     wait_ms,
-    way_ms,
 )
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.host_book import SMOOTHING, HostBook, HostState
@@ -52,7 +52,9 @@
         states = self.book.usable(call.upstream)
         candidates = (self.candidate(state, now_ms) for state in states)
         waits = (
-            way_ms(one) + wait_ms(one, work) for one in candidates if not one.suspected
+            round_trip_ms(one) + wait_ms(one, work)
+            for one in candidates
+            if not one.suspected
         )
         return min(waits, default=0)
 
--- a/pollenwalk/request/call_state.py
+++ b/pollenwalk/request/call_state.py
@@ -6,7 +6,7 @@
 from pollenwalk.version.routes import Route
 
 # The least that is left of a caller's time once an answer has to travel.
-ANSWER_WAY_MS = 5.0
+ANSWER_DELAY_MS = 5.0
 
 
 class Call(NamedTuple):
@@ -42,4 +42,4 @@
     """Give the earlier end of the caller's and of the route's time."""
     deadline_ms = request.traits.deadline_ms
     rest_ms = route.timeout_ms if deadline_ms is None else deadline_ms
-    return request.arrived_ms + min(rest_ms, route.timeout_ms) - ANSWER_WAY_MS
+    return request.arrived_ms + min(rest_ms, route.timeout_ms) - ANSWER_DELAY_MS
--- a/standin/experiments/placement.py
+++ b/standin/experiments/placement.py
@@ -18,7 +18,7 @@
     Placement,
     RoundRobin,
     Sticky,
-    path_ms,
+    round_trip_ms,
 )
 from standin.caller import Caller, Story, Tally
 from standin.demo import percentiles
@@ -85,7 +85,7 @@
         """Count the steps before the call's first token."""
         engine = self.world.engines.get(host.sidecar)
         if engine is None:
-            return path_ms(host, need) + host.ahead
+            return round_trip_ms(host, need) + host.ahead
         cached = engine.cache.get(need.program, 0)
         sidecar = self.world.sidecars[host.sidecar].sidecar
         work = [
@@ -98,7 +98,7 @@
         typical = sum(work) / len(work) if work else need.answer_ms
         queue_ms = max(waiting + 1 - free, 0) * typical / engine.shape.slots
         prefill_ms = max(need.prompt_tokens - cached, 0) * need.prefill_ms
-        return path_ms(host, need) + queue_ms + prefill_ms
+        return round_trip_ms(host, need) + queue_ms + prefill_ms
 
 
 def make_policy(name: str, world: World, rng: random.Random) -> Placement:
--- a/standin/virtual/fabric.py
+++ b/standin/virtual/fabric.py
@@ -63,9 +63,9 @@
 
     def delay_ms(self, source: Node, target: Node, size: int) -> float:
         """Give the time a message takes."""
-        way_ms = self.map.delay_ms(source.place, target.place, size, self.now_ms())
+        one_way_ms = self.map.delay_ms(source.place, target.place, size, self.now_ms())
         extra_ms = self.slow_ms.get((source.name, target.name), 0)
-        return way_ms + extra_ms + LOCAL_MS
+        return one_way_ms + extra_ms + LOCAL_MS
 
 
 class Pipe:
