--- a/pollenwalk/process/adoption.py
+++ b/pollenwalk/process/adoption.py
@@ -87,7 +87,7 @@
 
     async def copy(self, book: ProgramBook, dead: str) -> None:
         """Commit all programs and settled keys, then make them count."""
-        journal = self.home.parts.recorder.journal
+        journal = self.home.context.recorder.journal
         for chunk in chunks(book, dead):
             await journal.commit(chunk)
         claims = [
@@ -98,7 +98,7 @@
 
     async def name_successor(self, dead: str) -> None:
         """Write into a dead entry's record who has its programs."""
-        backoff = Backoff(self.home.parts.clock)
+        backoff = Backoff(self.home.context.clock)
         while not await self.successor_named(dead):
             await backoff.pause()
 
@@ -135,14 +135,14 @@
 
 def chunks(book: ProgramBook, origin: str) -> list[list[Snapshot]]:
     """Split a book into commits of bounded size."""
-    parts: list[list[Snapshot]] = [[]]
+    context: list[list[Snapshot]] = [[]]
     size = 0
     for program in book.programs.values():
         snapshot = snapshot_of(program, origin)
         weight = len(msgspec.msgpack.encode(snapshot))
-        if parts[-1] and size + weight > CHUNK_BYTES:
-            parts.append([])
+        if context[-1] and size + weight > CHUNK_BYTES:
+            context.append([])
             size = 0
-        parts[-1].append(snapshot)
+        context[-1].append(snapshot)
         size += weight
-    return [part for part in parts if part]
+    return [part for part in context if part]
--- a/pollenwalk/process/beginnings.py
+++ b/pollenwalk/process/beginnings.py
@@ -34,7 +34,7 @@
     def __init__(self, home: HomeWork) -> None:
         """Begin programs at `home`."""
         self.home = home
-        self.parts = home.parts
+        self.context = home.context
         self.beginning: dict[tuple[str, str], Beginning] = {}
         self.claiming: dict[tuple[str, str], asyncio.Task[None]] = {}
         self.claimed_ms: dict[tuple[str, str], float] = {}
@@ -49,7 +49,7 @@
         if known is not None:
             return self.repeated(known, request)
         self.home.check_open()
-        spec = self.parts.config.program(request.declaration)
+        spec = self.context.config.program(request.declaration)
         if spec is None:
             raise Refusal(
                 RefusalCode.UNKNOWN_DECLARATION,
@@ -70,7 +70,7 @@
             Fenced: this home has a successor; ask there.
         """
         try:
-            async with self.parts.clock.timeout_ms(BEGIN_WAIT_MS):
+            async with self.context.clock.timeout_ms(BEGIN_WAIT_MS):
                 await asyncio.shield(task)
         except TimeoutError as error:
             raise store_unavailable() from error
@@ -119,11 +119,13 @@
         task = self.claiming.get(identity)
         if task is None:
             record = Claimed(caller, key, program)
-            task = self.home.tasks.spawn(self.parts.recorder.commit([record]), 'claim')
+            task = self.home.tasks.spawn(
+                self.context.recorder.commit([record]), 'claim'
+            )
             self.claiming[identity] = task
             task.add_done_callback(lambda _: self.claiming.pop(identity, None))
         await self.durable(task)
-        self.claimed_ms[identity] = self.parts.clock.now_ms()
+        self.claimed_ms[identity] = self.context.clock.now_ms()
         return self.home.book.claims[identity]
 
     def repeated(self, program: Program, request: BeginProgram) -> Program:
@@ -138,8 +140,8 @@
     def new_id(self, incarnation: str = '') -> str:
         """Make a program id that carries its home, this one unless named."""
         return new_program_id(
-            incarnation or self.parts.incarnation,
-            self.parts.rng,
+            incarnation or self.context.incarnation,
+            self.context.rng,
         )
 
     def begin_new(self, request: BeginProgram, spec: ProgramSpec) -> Beginning:
@@ -165,7 +167,7 @@
 
     def record(self, record: Begun) -> asyncio.Task[None]:
         """Start to record a beginning, a child's under its parent's lock."""
-        recorder = self.parts.recorder
+        recorder = self.context.recorder
         if not record.parent:
             return self.home.tasks.spawn(recorder.commit([record]), 'begin')
         parent = self.home.find(record.parent)
@@ -187,7 +189,7 @@
             self.check_parent(request.parent, limit)
             return
         self.check_room(request)
-        budget = self.parts.config.budget(request.caller)
+        budget = self.context.config.budget(request.caller)
         running = [
             program
             for program in self.home.book.programs.values()
@@ -209,16 +211,16 @@
             Refusal: with a time to come back, drawn so that not all come
                 back at once.
         """
-        spec = self.parts.config.program(request.declaration)
-        level = self.parts.config.level(spec.priority)
+        spec = self.context.config.program(request.declaration)
+        level = self.context.config.level(spec.priority)
         for name in spec.upstreams:
-            upstream = self.parts.config.upstream(name)
-            hosts = self.parts.fleet.views(name)
+            upstream = self.context.config.upstream(name)
+            hosts = self.context.fleet.views(name)
             if upstream and upstream.kind == 'model' and not has_capacity(hosts, level):
                 raise Refusal(
                     RefusalCode.OVERLOADED,
                     f'{name} has too many calls waiting',
-                    retry_after_ms=self.parts.rng.randint(*ADMISSION_RETRY_MS),
+                    retry_after_ms=self.context.rng.randint(*ADMISSION_RETRY_MS),
                 )
 
     def check_parent(self, parent_id: str, limit: int) -> None:
@@ -238,7 +240,7 @@
 
     def drop_claims(self) -> None:
         """Forget keys whose retention has passed."""
-        now_ms = self.parts.clock.now_ms()
+        now_ms = self.context.clock.now_ms()
         for identity in list(self.home.book.claims):
             claimed_ms = self.claimed_ms.setdefault(identity, now_ms)
             if now_ms - claimed_ms > KEY_RETAIN_MS:
--- a/pollenwalk/process/compaction.py
+++ b/pollenwalk/process/compaction.py
@@ -26,14 +26,14 @@
         """Compact the journal of `home`."""
         self.home = home
         self.store = store
-        self.journal = home.parts.recorder.journal
+        self.journal = home.context.recorder.journal
         self.base_of: dict[str, int] = {}
         self.claims_base = 1
         self.floor = 1
 
     def start(self) -> None:
         """Follow what is recorded and compact in the background."""
-        self.home.parts.recorder.touched = self.touched
+        self.home.context.recorder.touched = self.touched
         self.home.tasks.spawn(self.run(), 'compaction')
 
     def touched(self, records: list[Record], segment: int) -> None:
@@ -45,7 +45,7 @@
     async def run(self) -> None:
         """Compact for as long as the home lives."""
         while not self.journal.fenced:
-            await self.home.parts.clock.sleep_ms(CHECK_MS)
+            await self.home.context.clock.sleep_ms(CHECK_MS)
             try:
                 await self.compact()
             except Fenced:
@@ -110,6 +110,6 @@
         while self.floor < floor:
             if self.journal.pace is not None:
                 await self.journal.pace.turn()
-            key = segment_key(self.home.parts.incarnation, self.floor)
+            key = segment_key(self.home.context.incarnation, self.floor)
             await self.store.delete(key)
             self.floor += 1
--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -47,7 +47,7 @@
 from pollenwalk.process.traces import Tracer
 from pollenwalk.process.witness import WitnessLog
 from pollenwalk.program.program import ProgramBook
-from pollenwalk.request.parts import Parts
+from pollenwalk.request.entry_context import EntryContext
 from pollenwalk.request.retry import RetryBudgets
 from pollenwalk.request.routing import Routing
 from pollenwalk.version.config import Accepted, Configuration
@@ -166,7 +166,7 @@
         self.journal.on_fenced = self.fenced
         book = ProgramBook()
         recorder = Recorder(self.journal, book, self.clock, self.home_tasks)
-        parts = Parts(
+        context = EntryContext(
             self.incarnation,
             self.clock,
             self.rng,
@@ -179,7 +179,7 @@
             recorder,
             self.tracer,
         )
-        self.home = Home(parts, book, self.home_tasks)
+        self.home = Home(context, book, self.home_tasks)
         self.compaction = Compaction(self.home, self.store)
         self.takeover = Takeover(
             self.store,
--- a/pollenwalk/process/home.py
+++ b/pollenwalk/process/home.py
@@ -33,8 +33,8 @@
     Record,
 )
 from pollenwalk.request.call import LiveCall, check_request
+from pollenwalk.request.entry_context import EntryContext
 from pollenwalk.request.execution import Execution, doubted
-from pollenwalk.request.parts import Parts
 
 END_WAIT_MS = 2000
 RENEW_MS = 5000
@@ -58,9 +58,11 @@
 class Home:
     """All programs of one incarnation."""
 
-    def __init__(self, parts: Parts, book: ProgramBook, tasks: TaskSet) -> None:
+    def __init__(
+        self, context: EntryContext, book: ProgramBook, tasks: TaskSet
+    ) -> None:
         """Start with the programs in `book`."""
-        self.parts = parts
+        self.context = context
         self.book = book
         self.tasks = tasks
         self.live: dict[str, LiveProgram] = {}
@@ -72,7 +74,9 @@
 
     def start(self) -> None:
         """Start the background work."""
-        self.tasks.spawn(self.parts.recorder.send_settled(self.parts.peers), 'settle')
+        self.tasks.spawn(
+            self.context.recorder.send_settled(self.context.peers), 'settle'
+        )
         self.upkeep.start()
 
     def release(self, program: Program) -> Coroutine[Any, Any, None]:
@@ -94,7 +98,7 @@
             raise unknown_program(program_id)
         live = self.live.get(program_id)
         if live is None or live.program is not program:
-            live = LiveProgram(program, self.parts.clock)
+            live = LiveProgram(program, self.context.clock)
             self.live[program_id] = live
         return live
 
@@ -106,9 +110,9 @@
                 'this entry is stopping',
                 retry_after_ms=RETRY_AFTER_MS,
             )
-        if self.parts.recorder.journal.fenced:
+        if self.context.recorder.journal.fenced:
             raise sealed()
-        if self.parts.recorder.journal.stalled:
+        if self.context.recorder.journal.stalled:
             raise store_unavailable()
 
     async def call(self, request: CallProgram) -> AsyncIterator[Tokens | Answer]:
@@ -142,7 +146,7 @@
         if refusal.outcome != Outcome.NOT_RUN or refusal.code in ABOUT_FORM:
             return True
         live = self.live.get(request.program)
-        upstream = self.parts.config.upstream(request.upstream)
+        upstream = self.context.config.upstream(request.upstream)
         repeatable = upstream is not None and (request.operation in upstream.idempotent)
         if repeatable and live is not None and live.may_have_run(request):
             return False
@@ -155,7 +159,7 @@
             Fenced: this home has a successor; ask there.
         """
         try:
-            await self.parts.recorder.confirm(CONFIRM_WAIT_MS)
+            await self.context.recorder.confirm(CONFIRM_WAIT_MS)
         except TimeoutError:
             return False
         return True
@@ -163,7 +167,7 @@
     async def answer(self, request: CallProgram) -> AsyncIterator[Tokens | Answer]:
         """Find or start a call and follow it to its end."""
         live = self.find(request.program)
-        live.used_ms = self.parts.clock.now_ms()
+        live.used_ms = self.context.clock.now_ms()
         call = self.attach(live, request)
         if isinstance(call, FinishedCall):
             finished = call
@@ -183,7 +187,7 @@
         request: CallProgram,
     ) -> LiveCall | FinishedCall:
         """Find the call of a key, or accept it as a new one."""
-        call = LiveCall(request, self.parts.clock)
+        call = LiveCall(request, self.context.clock)
         known = live.calls.get(request.key)
         finished = live.program.finished.get(request.key)
         if known is not None:
@@ -207,8 +211,8 @@
 
     def check_declared(self, live: LiveProgram, request: CallProgram) -> None:
         """Check the upstream and the operation against the declarations."""
-        spec = self.parts.config.program(live.program.declaration)
-        upstream = self.parts.config.upstream(request.upstream)
+        spec = self.context.config.program(live.program.declaration)
+        upstream = self.context.config.upstream(request.upstream)
         if spec is None or upstream is None or request.upstream not in spec.upstreams:
             raise Refusal(
                 RefusalCode.UNKNOWN_UPSTREAM,
@@ -226,7 +230,7 @@
 
     def check_loops(self, live: LiveProgram, call: LiveCall) -> None:
         """Stop a program that repeats itself or goes on without end."""
-        spec = self.parts.config.program(live.program.declaration)
+        spec = self.context.config.program(live.program.declaration)
         if call.request.sequence > spec.max_calls:
             raise Refusal(
                 RefusalCode.LOOP_LIMIT,
@@ -244,7 +248,7 @@
         """Run one call from its place in the order to its end."""
         try:
             await live.take_turn(call)
-            call.finish(await Execution(self.parts, live, call).run())
+            call.finish(await Execution(self.context, live, call).run())
         except PollenwalkError as error:
             call.refuse(error)
         finally:
@@ -252,7 +256,7 @@
                 call.refuse(cancelled(call) if live.ending else sealed())
             live.calls.pop(call.request.key, None)
             live.tasks.pop(call.request.key, None)
-            live.used_ms = self.parts.clock.now_ms()
+            live.used_ms = self.context.clock.now_ms()
             live.notify()
 
     def abandon(self) -> None:
@@ -280,7 +284,7 @@
         records: list[Record] = [Ended(program_id)]
         if cut_short:
             records.insert(0, Forfeited(program_id))
-        await self.parts.recorder.record(live, lambda: records, END_WAIT_MS)
+        await self.context.recorder.record(live, lambda: records, END_WAIT_MS)
         self.tasks.spawn(self.upkeep.release(live.program), 'release')
         return live.program
 
--- a/pollenwalk/process/home_work.py
+++ b/pollenwalk/process/home_work.py
@@ -6,20 +6,20 @@
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.program.live import LiveCall, LiveProgram
 from pollenwalk.program.program import Program, ProgramBook
-from pollenwalk.request.parts import Parts
+from pollenwalk.request.entry_context import EntryContext
 
 
 class HomeWork(Protocol):
     """A home, as those who begin, recover and look after its programs see it.
 
     Attributes:
-        parts: what all calls share.
+        context: what all calls of the entry share.
         book: the programs.
         tasks: the background work.
         live: the programs that are at work.
     """
 
-    parts: Parts
+    context: EntryContext
     book: ProgramBook
     tasks: TaskSet
     live: dict[str, LiveProgram]
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -27,7 +27,7 @@
     def __init__(self, home: HomeWork) -> None:
         """Recover the programs of `home`."""
         self.home = home
-        self.parts = home.parts
+        self.context = home.context
 
     def recover(self, programs: Iterable[Program]) -> None:
         """Find out what became of the intents of adopted programs."""
@@ -35,7 +35,7 @@
             live = self.home.find(program.id)
             live.doubtful = program.next_sequence
             for intent in list(program.intents.values()):
-                call = LiveCall(request_of(intent), self.parts.clock)
+                call = LiveCall(request_of(intent), self.context.clock)
                 live.calls[intent.key] = call
                 live.tasks[intent.key] = self.home.tasks.spawn(
                     self.recover_call(live, call, intent),
@@ -55,11 +55,11 @@
     ) -> None:
         """Ask the sidecar that an intent names, and never dispatch again."""
         resolver = Resolver(
-            self.parts.peers(intent.address),
-            self.parts.clock,
+            self.context.peers(intent.address),
+            self.context.clock,
             intent.boot,
         )
-        until_ms = self.parts.clock.now_ms() + RECOVERY_MS
+        until_ms = self.context.clock.now_ms() + RECOVERY_MS
         try:
             answer = await resolver.resolve(call, intent.incarnation, until_ms)
             if answer is None:
@@ -85,7 +85,7 @@
 
         Where a caller waits for it, the call is then run for the first time.
         """
-        await self.parts.recorder.record(
+        await self.context.recorder.record(
             live,
             lambda: [Withdrawn(intent.program, intent.key)],
         )
@@ -130,8 +130,8 @@
             live.program.budget.reserved,
             '',
         )
-        await self.parts.recorder.record(live, lambda: [record])
-        self.parts.recorder.settle(intent.address, call.id)
+        await self.context.recorder.record(live, lambda: [record])
+        self.context.recorder.settle(intent.address, call.id)
         call.finish(live.program.finished[intent.key])
 
 
--- a/pollenwalk/process/upkeep.py
+++ b/pollenwalk/process/upkeep.py
@@ -24,7 +24,7 @@
     def __init__(self, home: HomeWork) -> None:
         """Look after `home`."""
         self.home = home
-        self.parts = home.parts
+        self.context = home.context
         self.ended_ms: dict[str, float] = {}
 
     def start(self) -> None:
@@ -46,12 +46,12 @@
             ]
             if not pending:
                 return
-            await self.parts.clock.sleep_ms(RELEASE_TIMEOUT_MS)
+            await self.context.clock.sleep_ms(RELEASE_TIMEOUT_MS)
 
     async def released(self, address: str, program_id: str) -> bool:
         """Ask one sidecar; tell whether it has returned the memory."""
         try:
-            await self.parts.peers(address).ask(
+            await self.context.peers(address).ask(
                 Release([program_id]),
                 RELEASE_TIMEOUT_MS,
             )
@@ -64,7 +64,7 @@
         while True:
             for address, programs in self.holdings().items():
                 self.home.tasks.spawn(self.renew_at(address, programs), 'renew_at')
-            await self.parts.clock.sleep_ms(RENEW_MS)
+            await self.context.clock.sleep_ms(RENEW_MS)
 
     def holdings(self) -> dict[str, list[str]]:
         """Give the running programs by the sidecars that hold for them."""
@@ -79,23 +79,23 @@
     async def renew_at(self, address: str, programs: list[str]) -> None:
         """Renew at one sidecar; a lost message only shortens the lease."""
         try:
-            await self.parts.peers(address).ask(Renew(programs), RENEW_MS)
+            await self.context.peers(address).ask(Renew(programs), RENEW_MS)
         except (ConnectionLost, Refusal):
             logger.debug('renew_lost', address=address)
 
     async def sweep(self) -> None:
         """End idle programs and drop ended ones after their retention."""
         while True:
-            await self.parts.clock.sleep_ms(SWEEP_MS)
+            await self.context.clock.sleep_ms(SWEEP_MS)
             self.home.drop_claims()
             for program in list(self.home.book.programs.values()):
                 await self.sweep_one(program)
 
     async def sweep_one(self, program: Program) -> None:
         """End or drop one program if it is time."""
-        now_ms = self.parts.clock.now_ms()
+        now_ms = self.context.clock.now_ms()
         live = self.home.find(program.id)
-        spec = self.parts.config.program(program.declaration) or ProgramSpec([])
+        spec = self.context.config.program(program.declaration) or ProgramSpec([])
         try:
             if not program.ended:
                 idle = now_ms - live.used_ms > spec.idle_ms
@@ -111,7 +111,7 @@
     async def drop(self, live: LiveProgram) -> None:
         """Forget an ended program."""
         program_id = live.program.id
-        await self.parts.recorder.record(
+        await self.context.recorder.record(
             live,
             lambda: [Dropped(program_id)],
             DROP_WAIT_MS,
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -10,7 +10,7 @@
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.request.call import LiveCall
 from pollenwalk.request.dispatch import dispatch
-from pollenwalk.request.parts import Parts
+from pollenwalk.request.entry_context import EntryContext
 from pollenwalk.request.retry import pause_ms
 from pollenwalk.version.resources import UpstreamSpec
 
@@ -28,13 +28,13 @@
 
     def __init__(
         self,
-        parts: Parts,
+        context: EntryContext,
         live: LiveProgram,
         call: LiveCall,
         spec: UpstreamSpec,
     ) -> None:
         """Prepare to try `call` at the upstream that `spec` declares."""
-        self.parts = parts
+        self.context = context
         self.live = live
         self.call = call
         self.spec = spec
@@ -45,9 +45,9 @@
     @property
     def priority(self) -> int:
         """Give the level of the program's priority class."""
-        declaration = self.parts.config.program(self.program.declaration)
+        declaration = self.context.config.program(self.program.declaration)
         name = declaration.priority if declaration else ''
-        return self.parts.config.level(name)
+        return self.context.config.level(name)
 
     @property
     def message_tokens(self) -> int:
@@ -60,24 +60,24 @@
         Raises:
             Refusal: no host is to be had.
         """
-        until_ms = self.parts.clock.now_ms() + min(
+        until_ms = self.context.clock.now_ms() + min(
             NO_HOST_WAIT_MS,
             self.call.left_ms(),
         )
         while True:
-            if self.parts.recorder.journal.closing:
+            if self.context.recorder.journal.closing:
                 raise Fenced('this home is about to be handed over')
-            if self.parts.clock.now_ms() >= until_ms:
+            if self.context.clock.now_ms() >= until_ms:
                 raise Refusal(
                     RefusalCode.NO_UPSTREAM,
                     f'no host of {self.request.upstream} takes work now',
                     retry_after_ms=RETRY_AFTER_MS,
                 )
-            hosts = self.parts.fleet.views(self.request.upstream)
-            host = self.parts.placement.choose(hosts, self.need())
+            hosts = self.context.fleet.views(self.request.upstream)
+            host = self.context.placement.choose(hosts, self.need())
             if host is not None:
                 return host
-            await self.parts.clock.sleep_ms(NO_HOST_PAUSE_MS)
+            await self.context.clock.sleep_ms(NO_HOST_PAUSE_MS)
 
     def need(self) -> Need:
         """Describe the call to the placement policy."""
@@ -86,8 +86,8 @@
         max_tokens = self.request.argument.get('max_tokens', DEFAULT_MAX_TOKENS)
         return Need(
             self.program.id,
-            self.parts.location.zone,
-            self.parts.location.region,
+            self.context.location.zone,
+            self.context.location.region,
             prompt if history.entries else self.message_tokens,
             self.live.cached,
             float(max_tokens) * self.spec.decode_ms,
@@ -103,17 +103,17 @@
     ) -> Answer:
         """Give the call to a host's sidecar and wait for the answer."""
         if connection is None:
-            connection = await self.parts.peers(host.address).connected()
-        with self.parts.tracer.span('dispatch', self.request.trace) as trace:
+            connection = await self.context.peers(host.address).connected()
+        with self.context.tracer.span('dispatch', self.request.trace) as trace:
             message = self.build(host, connection.boot, max_tokens, trace)
             self.call.running = True
-            self.parts.fleet.sent(host.sidecar, self.call.id)
+            self.context.fleet.sent(host.sidecar, self.call.id)
             try:
                 answer = await dispatch(connection, self.live, self.call, message)
             finally:
-                self.parts.fleet.returned(host.sidecar, self.call.id)
-        self.parts.fleet.answered(host.sidecar, answer.ahead)
-        self.parts.retries.of(self.program.caller, self.request.upstream).earn()
+                self.context.fleet.returned(host.sidecar, self.call.id)
+        self.context.fleet.answered(host.sidecar, answer.ahead)
+        self.context.retries.of(self.program.caller, self.request.upstream).earn()
         return answer._replace(ahead=0)
 
     def build(
@@ -142,7 +142,7 @@
             history.digest if model else ROOT,
             max_tokens,
             self.priority,
-            self.parts.clock.now_ms() - self.live.begun_ms,
+            self.context.clock.now_ms() - self.live.begun_ms,
             max(self.call.left_ms(), 0),
             trace,
         )
@@ -150,7 +150,7 @@
     async def lost(self, host: HostView) -> None:
         """Leave a silent host out and pause before the next attempt."""
         logger.info('host_lost', sidecar=host.sidecar, call=self.call.id)
-        self.parts.fleet.refused(host.sidecar, LOST_PAUSE_MS)
+        self.context.fleet.refused(host.sidecar, LOST_PAUSE_MS)
         await self.pause(host)
 
     async def refused(self, host: HostView, refusal: Refusal) -> None:
@@ -160,9 +160,9 @@
             Refusal: the attempts or the retries are used up.
         """
         if refusal.code == RefusalCode.STOPPING:
-            self.parts.fleet.leaves(host.sidecar)
+            self.context.fleet.leaves(host.sidecar)
         else:
-            self.parts.fleet.refused(
+            self.context.fleet.refused(
                 host.sidecar,
                 refusal.retry_after_ms or REFUSED_PAUSE_MS,
             )
@@ -182,15 +182,15 @@
         """
         self.avoid[host.sidecar] = None
         self.call.attempts += 1
-        budget = self.parts.retries.of(self.program.caller, self.request.upstream)
+        budget = self.context.retries.of(self.program.caller, self.request.upstream)
         if not budget.spend():
             raise Refusal(
                 RefusalCode.OVERLOADED,
                 f'too many retries towards {self.request.upstream}',
                 retry_after_ms=RETRY_AFTER_MS,
             )
-        await self.parts.clock.sleep_ms(
-            pause_ms(self.call.attempts, self.parts.rng),
+        await self.context.clock.sleep_ms(
+            pause_ms(self.call.attempts, self.context.rng),
         )
 
     def note_held(self, host: HostView) -> None:
--- a/pollenwalk/request/parts.py
+++ b/pollenwalk/request/entry_context.py
@@ -1,4 +1,4 @@
-"""What a home needs to run calls."""
+"""What an entry gives the code that runs calls."""
 
 import random
 from typing import NamedTuple
@@ -13,8 +13,8 @@
 from pollenwalk.version.config import Configuration
 
 
-class Parts(NamedTuple):
-    """What a home needs to run calls."""
+class EntryContext(NamedTuple):
+    """What an entry gives the code that runs calls."""
 
     incarnation: str
     clock: Clock
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -32,7 +32,7 @@
 from pollenwalk.request.attempts import DEFAULT_MAX_TOKENS, RETRY_AFTER_MS, Attempts
 from pollenwalk.request.call import LiveCall
 from pollenwalk.request.dispatch import Resolver
-from pollenwalk.request.parts import Parts
+from pollenwalk.request.entry_context import EntryContext
 from pollenwalk.version.resources import ProgramSpec, UpstreamSpec
 
 INTENT_WAIT_MS = 2000
@@ -45,18 +45,20 @@
 class Execution:
     """One call's run."""
 
-    def __init__(self, parts: Parts, live: LiveProgram, call: LiveCall) -> None:
+    def __init__(
+        self, context: EntryContext, live: LiveProgram, call: LiveCall
+    ) -> None:
         """Prepare to run; the declarations are read now and stay."""
-        self.parts = parts
+        self.context = context
         self.live = live
         self.call = call
         self.program = live.program
         self.request = call.request
-        self.spec: UpstreamSpec = parts.config.upstream(call.request.upstream)
-        self.declaration: ProgramSpec = parts.config.program(
+        self.spec: UpstreamSpec = context.config.upstream(call.request.upstream)
+        self.declaration: ProgramSpec = context.config.program(
             live.program.declaration,
         )
-        self.attempts = Attempts(parts, live, call, self.spec)
+        self.attempts = Attempts(context, live, call, self.spec)
 
     async def run(self) -> FinishedCall:
         """Run the call to its final answer.
@@ -64,7 +66,7 @@
         Raises:
             Refusal: the call did not run and takes no place in the order.
         """
-        if not self.parts.recorder.journal.fresh:
+        if not self.context.recorder.journal.fresh:
             await self.confirm()
         if self.request.operation not in self.spec.idempotent:
             return await self.run_once()
@@ -131,7 +133,7 @@
         """Count a lost attempt's reservation as spent."""
         if not self.is_model:
             return
-        await self.parts.recorder.record(
+        await self.context.recorder.record(
             self.live,
             lambda: [Forfeited(self.program.id)],
         )
@@ -144,7 +146,7 @@
             Refusal: neither the store nor the witnesses answer.
         """
         try:
-            await self.parts.recorder.confirm(INTENT_WAIT_MS)
+            await self.context.recorder.confirm(INTENT_WAIT_MS)
         except TimeoutError as error:
             raise store_unavailable() from error
 
@@ -166,7 +168,7 @@
         while True:
             host = await self.attempts.pick()
             try:
-                return host, await self.parts.peers(host.address).connected()
+                return host, await self.context.peers(host.address).connected()
             except ConnectionLost:
                 await self.attempts.lost(host)
 
@@ -182,8 +184,8 @@
     async def resolve(self, host: HostView, connection: Connection) -> Ending:
         """Ask the sidecar what became of a call that was handed to it."""
         resolver = Resolver(
-            self.parts.peers(host.address),
-            self.parts.clock,
+            self.context.peers(host.address),
+            self.context.clock,
             connection.boot,
         )
         until_ms = self.call.deadline_ms + RESOLVE_GRACE_MS
@@ -214,7 +216,7 @@
                 f'{self.program.budget.left} tokens are left',
             )
         if self.program.budget.reserved < wanted:
-            await self.parts.recorder.record(
+            await self.context.recorder.record(
                 self.live,
                 lambda: [Reserved(self.program.id, wanted)],
                 INTENT_WAIT_MS,
@@ -233,7 +235,7 @@
             self.request.argument,
             host.address,
             connection.boot,
-            self.parts.incarnation,
+            self.context.incarnation,
         )
 
     async def intend(self, host: HostView, connection: Connection) -> None:
@@ -245,13 +247,13 @@
         """
         intent = self.make_intent(host, connection)
         try:
-            await self.parts.recorder.record(
+            await self.context.recorder.record(
                 self.live,
                 lambda: [intent],
                 INTENT_WAIT_MS,
             )
         except Refusal:
-            self.parts.recorder.record_later(
+            self.context.recorder.record_later(
                 self.live,
                 lambda: [Withdrawn(self.program.id, self.request.key)],
             )
@@ -260,7 +262,7 @@
     async def withdraw(self) -> None:
         """Note that an intent was proven not to have run."""
         self.call.running = False
-        await self.parts.recorder.record(
+        await self.context.recorder.record(
             self.live,
             lambda: [Withdrawn(self.program.id, self.request.key)],
         )
@@ -283,9 +285,9 @@
             self.next_reserve(),
             host.address if self.is_model and host else '',
         )
-        await self.parts.recorder.record(self.live, lambda: [record])
+        await self.context.recorder.record(self.live, lambda: [record])
         if host is not None:
-            self.parts.recorder.settle(host.address, self.call.id)
+            self.context.recorder.settle(host.address, self.call.id)
             if self.is_model and answer:
                 self.attempts.note_held(host)
         return self.program.finished[self.request.key]
--- a/pollenwalk/request/routing.py
+++ b/pollenwalk/request/routing.py
@@ -57,19 +57,19 @@
         self.directory = directory
         self.peers = peers
         self.location = location
-        self.clock = home.parts.clock
+        self.clock = home.context.clock
         self.open_requests = 0
         self.forwarded = 0
 
     @property
     def incarnation(self) -> str:
         """Give the incarnation whose programs are served here."""
-        return self.home.parts.incarnation
+        return self.home.context.incarnation
 
     def is_here(self, program_id: str) -> bool:
         """Tell whether this entry is a program's home."""
         if program_id in self.home.book.programs:
-            return not self.home.parts.recorder.journal.fenced
+            return not self.home.context.recorder.journal.fenced
         return home_of(program_id) == self.incarnation
 
     async def locate(self, program_id: str) -> EntryRecord:
@@ -125,9 +125,9 @@
         A commit and a dispatch are short ways there, while the link between
         regions is slow, narrow and paid by volume.
         """
-        spec = self.home.parts.config.program(request.declaration)
+        spec = self.home.context.config.program(request.declaration)
         upstreams = spec.upstreams if spec else []
-        fleet = self.home.parts.fleet
+        fleet = self.home.context.fleet
         regions = Counter(host.region for host in fleet.views_of(upstreams))
         own = self.location.region
         if not regions or regions[own] == max(regions.values()):
--- a/standin/experiments/placement.py
+++ b/standin/experiments/placement.py
@@ -125,8 +125,8 @@
     for number, process in enumerate(world.entries.values()):
         policy = make_policy(name, world, random.Random(seed + number))
         process.entry.placement = policy
-        parts = process.entry.home.parts._replace(placement=policy)
-        process.entry.home.parts = parts
+        context = process.entry.home.context._replace(placement=policy)
+        process.entry.home.context = context
     crossed = world.fabric.map.crossed_bytes
     tally = await drive(world, load, seed)
     fast = [one for one in tally.latency_ms if one <= deadline_ms()]
--- a/test/test_broken.py
+++ b/test/test_broken.py
@@ -40,7 +40,7 @@
 async def intend_later(self: Execution, host: Any, connection: Any) -> None:
     """Hand over before the intent is durable."""
     intent = self.make_intent(host, connection)
-    self.parts.recorder.record_later(self.live, lambda: [intent])
+    self.context.recorder.record_later(self.live, lambda: [intent])
 
 
 async def own_without_seal(self: Takeover, dead: str) -> str:
