--- a/pollenwalk/connection/gateway_app.py
+++ b/pollenwalk/connection/gateway_app.py
@@ -9,10 +9,14 @@
 from loguru import logger
 
 from pollenwalk.errors import BrokenAnswer, Outcome, Refusal, RefusalCode
-from pollenwalk.platform.headers import read_traits, request_headers, retry_header
+from pollenwalk.platform.headers import (
+    read_request_metadata,
+    request_headers,
+    retry_header,
+)
 from pollenwalk.process.clock import Clock
+from pollenwalk.request.http_messages import Headers, Request
 from pollenwalk.request.reply import Reply
-from pollenwalk.request.traits import Headers, Request
 
 Send = Callable[[dict[str, Any]], Awaitable[None]]
 Receive = Callable[[], Awaitable[dict[str, Any]]]
@@ -140,7 +144,7 @@
                 return_when=asyncio.FIRST_COMPLETED,
             )
             if not answering.done():
-                logger.info('caller_left', request=request.traits.id)
+                logger.info('caller_left', request=request.metadata.id)
         finally:
             leaving.cancel()
             answering.cancel()
@@ -154,10 +158,10 @@
             self.count_refusal(refusal)
             await refuse(request, refusal, reply)
         except BrokenAnswer as error:
-            logger.warning('cut', request=request.traits.id, reason=error.message)
+            logger.warning('cut', request=request.metadata.id, reason=error.message)
         except Exception as error:  # noqa: BLE001
             # A defect must not leave the caller waiting.
-            logger.opt(exception=error).error('failed', request=request.traits.id)
+            logger.opt(exception=error).error('failed', request=request.metadata.id)
             failed = Refusal(RefusalCode.INTERNAL, 'internal', Outcome.UNKNOWN)
             await refuse(request, failed, reply)
 
@@ -202,7 +206,7 @@
         host=host.decode('latin-1'),
         headers=request_headers(headers),
         body=body,
-        traits=read_traits(headers),
+        metadata=read_request_metadata(headers),
         arrived_ms=arrived_ms,
     )
 
@@ -211,7 +215,7 @@
     """Answer with a refusal; a stream that has begun is cut instead."""
     logger.info(
         'refused',
-        request=request.traits.id,
+        request=request.metadata.id,
         code=str(refusal.code),
         outcome=str(refusal.outcome),
         reason=refusal.message,
--- a/pollenwalk/connection/link_pool.py
+++ b/pollenwalk/connection/link_pool.py
@@ -31,7 +31,7 @@
         now_ms = self.clock.now_ms()
         while links:
             link = links.pop()
-            if link.reusable and now_ms < link.idle_since_ms + keep_ms(link):
+            if link.reusable and now_ms < link.idle_since_ms + keep_alive_ms(link):
                 return link
             link.abort()
         return await open_link(host.address, CONNECT_TIMEOUT_S)
@@ -54,8 +54,8 @@
         self.drop(set())
 
 
-def keep_ms(link: UpstreamLink) -> float:
+def keep_alive_ms(link: UpstreamLink) -> float:
     """Give how long a link may be idle and still be used."""
-    if link.keep_ms is None:
+    if link.keep_alive_ms is None:
         return UNSTATED_KEEP_MS
-    return max(link.keep_ms - CLOSE_MARGIN_MS, 0)
+    return max(link.keep_alive_ms - CLOSE_MARGIN_MS, 0)
--- a/pollenwalk/connection/upstream_link.py
+++ b/pollenwalk/connection/upstream_link.py
@@ -16,7 +16,7 @@
 from pollenwalk.connection.keepalive import probe_peer
 from pollenwalk.errors import BrokenAnswer, NotSent
 from pollenwalk.platform import headers as wire
-from pollenwalk.request.traits import AnswerHead, Headers
+from pollenwalk.request.http_messages import AnswerHead, Headers
 
 # Unread bytes at which the upstream host is made to wait.
 HIGH_WATER_BYTES = 262_144
@@ -30,7 +30,7 @@
     Attributes:
         reusable: whether another request may follow.
         idle_since_ms: set by the pool when the link comes back.
-        keep_ms: how long the host keeps an idle connection, if it says.
+        keep_alive_ms: how long the host keeps an idle connection, if it says.
     """
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
         self.reset = False
         self.reusable = True
         self.idle_since_ms = 0.0
-        self.keep_ms: float | None = None
+        self.keep_alive_ms: float | None = None
         self.parser = h11.Connection(h11.CLIENT)
         self.sent: list[h11.Event] = []
 
@@ -169,8 +169,8 @@
         if not isinstance(event, h11.Response):
             raise BrokenAnswer('the connection ended without an answer')
         found = wire.read_answer(event.status_code, list(event.headers))
-        if found.keep_ms is not None:
-            self.keep_ms = found.keep_ms
+        if found.keep_alive_ms is not None:
+            self.keep_alive_ms = found.keep_alive_ms
         return found
 
     async def body(self) -> bytes:
--- a/pollenwalk/platform/headers.py
+++ b/pollenwalk/platform/headers.py
@@ -2,7 +2,12 @@
 
 from collections.abc import Iterable
 
-from pollenwalk.request.traits import AnswerHead, Headers, PromptPart, Traits
+from pollenwalk.request.http_messages import (
+    AnswerHead,
+    Headers,
+    PromptPart,
+    RequestMetadata,
+)
 
 MS_PER_SECOND = 1000
 PREFIX = b'x-pollenwalk-'
@@ -60,21 +65,21 @@
 MISDIRECTED = 421
 
 
-def read_traits(headers: Iterable[tuple[bytes, bytes]]) -> Traits:
+def read_request_metadata(headers: Iterable[tuple[bytes, bytes]]) -> RequestMetadata:
     """Decode what a request says of itself; bad numbers count as absent."""
     found = {name: field.decode('latin-1').strip() for name, field in headers}
     prompt, most = read_pair(found.get(TOKENS, ''))
-    return Traits(
+    return RequestMetadata(
         id=found.get(REQUEST_ID, ''),
         deadline_ms=read_float(found.get(DEADLINE)),
         program=found.get(PROGRAM, ''),
         session=found.get(SESSION, ''),
-        program_rest_ms=read_float(found.get(PROGRAM_DEADLINE)),
+        program_remaining_ms=read_float(found.get(PROGRAM_DEADLINE)),
         budget=read_int(found.get(BUDGET)),
         prompt_tokens=prompt,
-        most_tokens=most,
+        max_tokens=most,
         expected_tokens=read_int(found.get(LENGTH_HINT)) or 0,
-        parts=read_parts(found.get(PARTS, '')),
+        prompt_parts=read_parts(found.get(PARTS, '')),
         previous=found.get(PREVIOUS, ''),
         resumes=LAST_EVENT in found,
     )
@@ -166,7 +171,7 @@
         refused=NOT_EXECUTED in found or status == MISDIRECTED,
         encoded=ENCODING in found,
         load=read_load(found.get(LOAD, '')),
-        keep_ms=read_keep_alive(found.get(KEEP_ALIVE, '')),
+        keep_alive_ms=read_keep_alive(found.get(KEEP_ALIVE, '')),
         retry_after_ms=None if retry_s is None else retry_s * MS_PER_SECOND,
     )
 
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -23,12 +23,12 @@
 from pollenwalk.process.store import ObjectStore
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.request.call_state import Call, end_of_wait
+from pollenwalk.request.http_messages import Request
 from pollenwalk.request.plain import run_plain
 from pollenwalk.request.program_turn import ProgramTurn
 from pollenwalk.request.reply import Reply
 from pollenwalk.request.sends import Upstreams
 from pollenwalk.request.streamed import Turn, UnboundTurn, run_stream
-from pollenwalk.request.traits import Request
 from pollenwalk.version.in_force import InForce
 from pollenwalk.version.routes import Configuration, Route
 
@@ -251,7 +251,7 @@
                 RefusalCode.UNKNOWN_ROUTE,
                 f'no route at version {current.version}',
             )
-        if not request.traits.id:
+        if not request.metadata.id:
             raise Refusal(RefusalCode.MALFORMED, 'the request has no id')
         return make_call(current, route, request)
 
@@ -265,7 +265,7 @@
     def turn_of(self, call: Call) -> Turn:
         """Tell what a stream means to its program."""
         keeps = call.route.keeps_history
-        if keeps or call.request.traits.budget is not None:
+        if keeps or call.request.metadata.budget is not None:
             return ProgramTurn(self.keepers, call, self.metrics)
         return UnboundTurn(call.request.body)
 
@@ -277,11 +277,11 @@
 
 def make_call(current: Configuration, route: Route, request: Request) -> Call:
     """Choose the upstream of a call and the end of its time."""
-    traits = request.traits
+    metadata = request.metadata
     return Call(
         request=request,
         route=route,
-        upstream=pick_upstream(route, traits.program or traits.id),
+        upstream=pick_upstream(route, metadata.program or metadata.id),
         version=current.version,
         ends_ms=end_of_wait(request, route),
         tokens_per_event=current.tokens_per_event(route),
--- a/pollenwalk/request/call_state.py
+++ b/pollenwalk/request/call_state.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from pollenwalk.request.traits import Request
+from pollenwalk.request.http_messages import Request
 from pollenwalk.version.routes import Route
 
 # The least that is left of a caller's time once an answer has to travel.
@@ -31,7 +31,7 @@
     @property
     def id(self) -> str:
         """Give the id of the request."""
-        return self.request.traits.id
+        return self.request.metadata.id
 
     def rest_ms(self, now_ms: float) -> float:
         """Give the time that is left."""
@@ -40,6 +40,6 @@
 
 def end_of_wait(request: Request, route: Route) -> float:
     """Give the earlier end of the caller's and of the route's time."""
-    deadline_ms = request.traits.deadline_ms
+    deadline_ms = request.metadata.deadline_ms
     rest_ms = route.timeout_ms if deadline_ms is None else deadline_ms
     return request.arrived_ms + min(rest_ms, route.timeout_ms) - ANSWER_DELAY_MS
--- a/pollenwalk/request/traits.py
+++ b/pollenwalk/request/http_messages.py
@@ -12,7 +12,7 @@
     tokens: int
 
 
-class Traits(NamedTuple):
+class RequestMetadata(NamedTuple):
     """What a request says of itself.
 
     Attributes:
@@ -20,12 +20,12 @@
         deadline_ms: how long the caller waits; None where it doesn't say.
         program: the program that the request belongs to; empty for none.
         session: the line of turns within the program.
-        program_rest_ms: time until the whole program should be done.
+        program_remaining_ms: time until the whole program should be done.
         budget: tokens that all turns of the program may generate.
         prompt_tokens: of the whole prompt.
-        most_tokens: the most that this turn generates.
+        max_tokens: the most that this turn generates.
         expected_tokens: the caller's guess of what it generates.
-        parts: of the prompt, in order.
+        prompt_parts: of the prompt, in order.
         previous: the turn that this one continues; empty for none.
         resumes: whether it goes on with an interrupted stream.
     """
@@ -34,12 +34,12 @@
     deadline_ms: float | None = None
     program: str = ''
     session: str = ''
-    program_rest_ms: float | None = None
+    program_remaining_ms: float | None = None
     budget: int | None = None
     prompt_tokens: int = 0
-    most_tokens: int = 0
+    max_tokens: int = 0
     expected_tokens: int = 0
-    parts: tuple[PromptPart, ...] = ()
+    prompt_parts: tuple[PromptPart, ...] = ()
     previous: str = ''
     resumes: bool = False
 
@@ -54,7 +54,7 @@
         host: the host name that was asked for.
         headers: to pass on, without those of one connection.
         body: whole.
-        traits: what the headers say.
+        metadata: what the headers say.
         arrived_ms: on the process's clock.
     """
 
@@ -64,7 +64,7 @@
     host: str
     headers: Headers
     body: bytes
-    traits: Traits
+    metadata: RequestMetadata
     arrived_ms: float
 
 
@@ -79,7 +79,7 @@
         refused: whether the host says that it did not run the request.
         encoded: whether the body is not the plain one that was asked for.
         load: calls running and waiting at the host and its slots, if told.
-        keep_ms: how long the connection may stay idle; None if not told.
+        keep_alive_ms: how long the connection may stay idle; None if not told.
         retry_after_ms: when the host asks to be tried again, if told.
     """
 
@@ -90,5 +90,5 @@
     refused: bool = False
     encoded: bool = False
     load: tuple[int, int, int] | None = None
-    keep_ms: float | None = None
+    keep_alive_ms: float | None = None
     retry_after_ms: float | None = None
--- a/pollenwalk/request/program_turn.py
+++ b/pollenwalk/request/program_turn.py
@@ -43,12 +43,12 @@
         try:
             return await self.permitted_prompt()
         except Refusal as refusal:
-            program = self.call.request.traits.program
+            program = self.call.request.metadata.program
             raise self.group.returns.advise(refusal, program) from refusal
 
     async def permitted_prompt(self) -> bytes:
         """Reserve the tokens while the prompt is put together."""
-        if self.call.request.traits.budget is not None:
+        if self.call.request.metadata.budget is not None:
             self.reservation = Reservation(
                 self.group,
                 self.call,
@@ -62,9 +62,9 @@
     async def prompt(self) -> bytes:
         """Give the chain's inputs and outputs, then the new input."""
         request = self.call.request
-        if not self.call.route.keeps_history or not request.traits.previous:
+        if not self.call.route.keeps_history or not request.metadata.previous:
             return request.body
-        chain = await self.group.chain(request.traits.previous)
+        chain = await self.group.chain(request.metadata.previous)
         return prompt_of(chain, request.body)
 
     async def before_event(self, event: Event) -> None:
@@ -100,11 +100,11 @@
 
     async def keep(self) -> None:
         """Have the turn kept by enough keepers."""
-        traits = self.call.request.traits
+        metadata = self.call.request.metadata
         record = TurnRecord(
-            turn=traits.id,
-            program=traits.program,
-            previous=traits.previous,
+            turn=metadata.id,
+            program=metadata.program,
+            previous=metadata.previous,
             given=self.call.request.body,
             made=b''.join(self.made),
             tokens=self.tokens,
@@ -119,8 +119,8 @@
         self.metrics.keep_seconds.observe({}, took_ms / MS_PER_SECOND)
         logger.info(
             'turn_kept',
-            request=traits.id,
-            previous=traits.previous,
+            request=metadata.id,
+            previous=metadata.previous,
             keepers=holders,
             took_ms=round(took_ms),
         )
--- a/pollenwalk/request/reply.py
+++ b/pollenwalk/request/reply.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from pollenwalk.request.traits import Headers
+from pollenwalk.request.http_messages import Headers
 
 
 class Reply(Protocol):
--- a/pollenwalk/request/reservation.py
+++ b/pollenwalk/request/reservation.py
@@ -35,14 +35,14 @@
         self.group = group
         self.metrics = metrics
         self.call = call
-        traits = call.request.traits
+        metadata = call.request.metadata
         self.early = False
         self.others = 0
-        self.most = traits.most_tokens
-        self.budget = traits.budget or 0
+        self.most = metadata.max_tokens
+        self.budget = metadata.budget or 0
         self.message = ReserveTokens(
-            traits.program,
-            traits.id,
+            metadata.program,
+            metadata.id,
             self.most,
             call.route.retention_ms,
         )
--- a/pollenwalk/request/sends.py
+++ b/pollenwalk/request/sends.py
@@ -27,7 +27,7 @@
 from pollenwalk.process.placing import Placing
 from pollenwalk.request.call_state import Call
 from pollenwalk.request.exchange import Exchange
-from pollenwalk.request.traits import Headers
+from pollenwalk.request.http_messages import Headers
 
 # A share of the objective within which a refused caller can still come back
 # and be served on time.
@@ -85,7 +85,7 @@
         logger.info(
             'turned_back',
             request=call.id,
-            program=call.request.traits.program,
+            program=call.request.metadata.program,
             wait_ms=round(wait_ms),
             run_ms=round(self.work.run_ms),
             priority=call.route.priority,
--- a/test/connection/test_gateway_app.py
+++ b/test/connection/test_gateway_app.py
@@ -10,8 +10,8 @@
 from pollenwalk.connection.http_server import HttpServer, free_port
 from pollenwalk.errors import BrokenAnswer, Outcome, Refusal, RefusalCode
 from pollenwalk.process.clock import LoopClock
+from pollenwalk.request.http_messages import Request
 from pollenwalk.request.reply import Reply
-from pollenwalk.request.traits import Request
 from test.helper import on_loop
 
 REQUEST = (
@@ -63,7 +63,7 @@
         request = seen[0]
         self.assertEqual(b'/p/%41?x=%20&y', request.target)
         self.assertEqual(b'abcde', request.body)
-        self.assertEqual('r1', request.traits.id)
+        self.assertEqual('r1', request.metadata.id)
         self.assertNotIn(b'x-hop', dict(request.headers))
         self.assertTrue(answer.startswith(b'HTTP/1.1 200 '))
         self.assertIn(b'connection: close', answer.lower())
--- a/test/platform/test_headers.py
+++ b/test/platform/test_headers.py
@@ -4,19 +4,19 @@
 
 from pollenwalk.platform.headers import (
     read_answer,
-    read_traits,
+    read_request_metadata,
     request_headers,
     retry_header,
     sent_headers,
 )
-from pollenwalk.request.traits import PromptPart
+from pollenwalk.request.http_messages import PromptPart
 
 
 class TraitsTest(testtools.TestCase):
     """What a request says of itself."""
 
     def test_all(self) -> None:
-        traits = read_traits(
+        metadata = read_request_metadata(
             [
                 (b'x-pollenwalk-request-id', b'9c41'),
                 (b'x-pollenwalk-deadline-ms', b'3000'),
@@ -31,25 +31,25 @@
                 (b'last-event-id', b'12'),
             ],
         )
-        self.assertEqual('9c41', traits.id)
-        self.assertEqual(3000, traits.deadline_ms)
-        self.assertEqual(('p1', 's1'), (traits.program, traits.session))
-        self.assertEqual(5200, traits.program_rest_ms)
-        self.assertEqual(2240, traits.budget)
-        self.assertEqual((1840, 280), (traits.prompt_tokens, traits.most_tokens))
-        self.assertEqual(90, traits.expected_tokens)
+        self.assertEqual('9c41', metadata.id)
+        self.assertEqual(3000, metadata.deadline_ms)
+        self.assertEqual(('p1', 's1'), (metadata.program, metadata.session))
+        self.assertEqual(5200, metadata.program_remaining_ms)
+        self.assertEqual(2240, metadata.budget)
+        self.assertEqual((1840, 280), (metadata.prompt_tokens, metadata.max_tokens))
+        self.assertEqual(90, metadata.expected_tokens)
         self.assertEqual(
             (PromptPart('5c1e', 800), PromptPart('91bd', 410)),
-            traits.parts,
+            metadata.prompt_parts,
         )
-        self.assertEqual('e5b2', traits.previous)
-        self.assertTrue(traits.resumes)
+        self.assertEqual('e5b2', metadata.previous)
+        self.assertTrue(metadata.resumes)
 
     def test_none_and_nonsense(self) -> None:
-        nothing = read_traits([])
+        nothing = read_request_metadata([])
         self.assertIsNone(nothing.deadline_ms)
         self.assertIsNone(nothing.budget)
-        nonsense = read_traits(
+        nonsense = read_request_metadata(
             [
                 (b'x-pollenwalk-deadline-ms', b'soon'),
                 (b'x-pollenwalk-token-usage', b'many'),
@@ -57,7 +57,7 @@
             ],
         )
         self.assertIsNone(nonsense.deadline_ms)
-        self.assertEqual(0, nonsense.most_tokens)
+        self.assertEqual(0, nonsense.max_tokens)
 
 
 class PassedOnTest(testtools.TestCase):
@@ -120,7 +120,7 @@
         self.assertTrue(head.signed)
         self.assertFalse(head.refused)
         self.assertEqual((3, 1, 8), head.load)
-        self.assertEqual(5000, head.keep_ms)
+        self.assertEqual(5000, head.keep_alive_ms)
         self.assertIn((b'content-type', b'text/plain'), head.headers)
         self.assertNotIn((b'content-length', b'3'), head.headers)
 
--- a/test/request/test_forwarding.py
+++ b/test/request/test_forwarding.py
@@ -16,10 +16,10 @@
 from pollenwalk.process.host_book import HostBook
 from pollenwalk.process.placing import Placing
 from pollenwalk.request.call_state import Call
+from pollenwalk.request.http_messages import Headers, Request, RequestMetadata
 from pollenwalk.request.plain import run_plain
 from pollenwalk.request.sends import Upstreams
 from pollenwalk.request.streamed import UnboundTurn, run_stream
-from pollenwalk.request.traits import Headers, Request, Traits
 from pollenwalk.version.routes import CallKind, Route, Share
 from standin.platform.host import (
     Line,
@@ -189,7 +189,7 @@
         'h',
         headers,
         b'input',
-        Traits('r1', 2000),
+        RequestMetadata('r1', 2000),
         now_ms,
     )
     return Call(request, route, 'up', 1, now_ms + 2000, 14)
--- a/test/request/test_program_turn.py
+++ b/test/request/test_program_turn.py
@@ -12,9 +12,9 @@
 from pollenwalk.program.turns import SettleTokens
 from pollenwalk.request.call_state import Call
 from pollenwalk.request.event_stream import Event
+from pollenwalk.request.http_messages import Request, RequestMetadata
 from pollenwalk.request.program_turn import ProgramTurn
 from pollenwalk.request.reservation import Reservation
-from pollenwalk.request.traits import Request, Traits
 from test.helper import virtual
 from test.process.test_keepers import World, record
 from test.request.test_forwarding import STREAM
@@ -25,15 +25,15 @@
 
 def make_call(turn: str, budget: int, previous: str = '') -> Call:
     """Make a turn of a program."""
-    traits = Traits(
+    metadata = RequestMetadata(
         turn,
         2000,
         program='p',
         budget=budget,
-        most_tokens=MOST,
+        max_tokens=MOST,
         previous=previous,
     )
-    request = Request(b'POST', b'/p/1', '/p/1', 'h', [], turn.encode(), traits, 0)
+    request = Request(b'POST', b'/p/1', '/p/1', 'h', [], turn.encode(), metadata, 0)
     return Call(request, KEPT, 'up', 1, 2000, 14)
 
 
