--- a/pollenwalk/policy/program_admission.py
+++ b/pollenwalk/policy/program_admission.py
@@ -54,11 +54,11 @@
     return wait_ms <= target_ms * WAIT_SHARE / (1 + priority)
 
 
-def retry_delay_ms(rest_ms: float, rng: random.Random) -> float:
+def retry_delay_ms(remaining_ms: float, rng: random.Random) -> float:
     """Tell a caller that was turned back when to come again.
 
     Args:
-        rest_ms: the time that the caller has left.
+        remaining_ms: the time that the caller has left.
         rng: spreads the callers.
     """
-    return rest_ms * rng.uniform(FIRST_RETURN_SHARE, LAST_RETURN_SHARE)
+    return remaining_ms * rng.uniform(FIRST_RETURN_SHARE, LAST_RETURN_SHARE)
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -22,7 +22,7 @@
 from pollenwalk.process.placing import Placing
 from pollenwalk.process.store import ObjectStore
 from pollenwalk.process.tasks import TaskSet
-from pollenwalk.request.call_state import Call, end_of_wait
+from pollenwalk.request.call_state import Call, call_deadline_ms
 from pollenwalk.request.http_messages import Request
 from pollenwalk.request.plain import run_plain
 from pollenwalk.request.program_turn import ProgramTurn
@@ -225,9 +225,9 @@
 
     async def run_in_time(self, call: Call, reply: Reply) -> None:
         """Run a call until the caller or the route stops waiting."""
-        rest_ms = call.rest_ms(self.clock.now_ms())
+        remaining_ms = call.remaining_ms(self.clock.now_ms())
         try:
-            async with self.clock.timeout_ms(rest_ms):
+            async with self.clock.timeout_ms(remaining_ms):
                 await self.run(call, reply)
         except TimeoutError as error:
             raise deadline_passed() from error
@@ -283,7 +283,7 @@
         route=route,
         upstream=pick_upstream(route, metadata.program or metadata.id),
         version=current.version,
-        ends_ms=end_of_wait(request, route),
+        deadline_at_ms=call_deadline_ms(request, route),
         tokens_per_event=current.tokens_per_event(route),
     )
 
--- a/pollenwalk/program/live.py
+++ b/pollenwalk/program/live.py
@@ -115,14 +115,14 @@
             patience_ms = gap_since_ms + GAP_WAIT_MS - self.clock.now_ms()
             if patience_ms <= 0:
                 raise self.gap(call.request)
-            await self.wait_change(min(patience_ms, call.left_ms()))
+            await self.wait_change(min(patience_ms, call.remaining_ms()))
         self.check_waiting(call)
 
     def check_waiting(self, call: LiveCall) -> None:
         """Refuse a waiting call whose program ends or whose time is up."""
         if self.ending or self.program.ended:
             raise Refusal(RefusalCode.PROGRAM_ENDED, 'the program has ended')
-        if call.left_ms() <= 0:
+        if call.remaining_ms() <= 0:
             raise Refusal(RefusalCode.DEADLINE, 'the deadline passed in order')
 
     def has_forerunner(self, call: LiveCall) -> bool:
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -62,7 +62,7 @@
         """
         until_ms = self.context.clock.now_ms() + min(
             NO_HOST_WAIT_MS,
-            self.call.left_ms(),
+            self.call.remaining_ms(),
         )
         while True:
             if self.context.recorder.journal.closing:
@@ -143,7 +143,7 @@
             max_tokens,
             self.priority,
             self.context.clock.now_ms() - self.live.begun_ms,
-            max(self.call.left_ms(), 0),
+            max(self.call.remaining_ms(), 0),
             trace,
         )
 
@@ -172,7 +172,7 @@
 
     def attempts_left(self) -> bool:
         """Tell whether the call may be tried once more."""
-        return self.call.attempts < MAX_ATTEMPTS and self.call.left_ms() > 0
+        return self.call.attempts < MAX_ATTEMPTS and self.call.remaining_ms() > 0
 
     async def pause(self, host: HostView) -> None:
         """Spend a retry and wait with jitter.
--- a/pollenwalk/request/call.py
+++ b/pollenwalk/request/call.py
@@ -65,7 +65,7 @@
         """Name the call in every hop."""
         return f'{self.request.program}/{self.request.key}'
 
-    def left_ms(self) -> float:
+    def remaining_ms(self) -> float:
         """Give the time left until the deadline."""
         return self.deadline_ms - self.clock.now_ms()
 
--- a/pollenwalk/request/call_state.py
+++ b/pollenwalk/request/call_state.py
@@ -17,7 +17,7 @@
         route: that it takes.
         upstream: of the route's upstreams, the one it goes to.
         version: of the configuration.
-        ends_ms: when the caller or the route stops waiting.
+        deadline_at_ms: when the caller or the route stops waiting.
         tokens_per_event: what an event of its stream counts for.
     """
 
@@ -25,7 +25,7 @@
     route: Route
     upstream: str
     version: int
-    ends_ms: float
+    deadline_at_ms: float
     tokens_per_event: int
 
     @property
@@ -33,13 +33,13 @@
         """Give the id of the request."""
         return self.request.metadata.id
 
-    def rest_ms(self, now_ms: float) -> float:
+    def remaining_ms(self, now_ms: float) -> float:
         """Give the time that is left."""
-        return self.ends_ms - now_ms
+        return self.deadline_at_ms - now_ms
 
 
-def end_of_wait(request: Request, route: Route) -> float:
+def call_deadline_ms(request: Request, route: Route) -> float:
     """Give the earlier end of the caller's and of the route's time."""
     deadline_ms = request.metadata.deadline_ms
-    rest_ms = route.timeout_ms if deadline_ms is None else deadline_ms
-    return request.arrived_ms + min(rest_ms, route.timeout_ms) - ANSWER_DELAY_MS
+    remaining_ms = route.timeout_ms if deadline_ms is None else deadline_ms
+    return request.arrived_ms + min(remaining_ms, route.timeout_ms) - ANSWER_DELAY_MS
--- a/pollenwalk/request/routing.py
+++ b/pollenwalk/request/routing.py
@@ -226,8 +226,8 @@
     ) -> AsyncIterator[Tokens | Answer]:
         """Run a call at one home after the other until one answers."""
         while True:
-            left_ms = deadline_ms - self.clock.now_ms()
-            request = request._replace(deadline_in_ms=left_ms)
+            remaining_ms = deadline_ms - self.clock.now_ms()
+            request = request._replace(deadline_in_ms=remaining_ms)
             try:
                 async for item in self.call_once(request):
                     yield item
--- a/pollenwalk/request/sends.py
+++ b/pollenwalk/request/sends.py
@@ -80,8 +80,8 @@
         wait_ms = placing.least_wait_ms(call, self.work)
         if is_wait_acceptable(wait_ms, call.route.target_ms, call.route.priority):
             return
-        rest_ms = call.rest_ms(self.upstreams.clock.now_ms())
-        retry_after_ms = retry_delay_ms(rest_ms, self.upstreams.rng)
+        remaining_ms = call.remaining_ms(self.upstreams.clock.now_ms())
+        retry_after_ms = retry_delay_ms(remaining_ms, self.upstreams.rng)
         logger.info(
             'turned_back',
             request=call.id,
@@ -231,8 +231,8 @@
 
     def headers(self, state: HostState, last_event: str) -> Headers:
         """Write the headers for one host."""
-        rest_ms = self.call.rest_ms(self.upstreams.clock.now_ms())
-        added = sent_headers(state.listed.id, rest_ms, None)
+        remaining_ms = self.call.remaining_ms(self.upstreams.clock.now_ms())
+        added = sent_headers(state.listed.id, remaining_ms, None)
         given = self.call.request.headers
         if last_event:
             resume = resume_header(last_event)
