--- a/pollenwalk/connection/sidecar_api.py
+++ b/pollenwalk/connection/sidecar_api.py
@@ -50,8 +50,8 @@
     async def metrics(self, request: Request) -> Response:
         """Show the metrics in the Prometheus text format."""
         grants = self.sidecar.work.grants
-        self.running.set({}, self.sidecar.work.admission.running)
-        self.waiting.set({}, len(self.sidecar.work.admission.waiting))
+        self.running.set({}, self.sidecar.work.slot_queue.running)
+        self.waiting.set({}, len(self.sidecar.work.slot_queue.waiting))
         self.kept.set({}, len(self.sidecar.work.calls.calls))
         self.leases.set({}, len(grants.until_ms) if grants else 0)
         body, headers = render(self.registry, ['text/plain'])
--- a/pollenwalk/process/sidecar.py
+++ b/pollenwalk/process/sidecar.py
@@ -162,9 +162,9 @@
             settings.address,
             settings.zone,
             self.reports,
-            self.work.admission.running,
-            len(self.work.admission.waiting),
-            self.work.admission.slots,
+            self.work.slot_queue.running,
+            len(self.work.slot_queue.waiting),
+            self.work.slot_queue.slots,
             self.leaving,
             self.spec_version,
             self.digest,
@@ -204,5 +204,5 @@
             return
         self.work.spec = spec_from(Kind.UPSTREAM, message.spec)
         self.spec_version = message.version
-        self.work.admission.resize(self.work.spec.slots, self.work.spec.queue)
+        self.work.slot_queue.resize(self.work.spec.slots, self.work.spec.queue)
         self.send_report()
--- a/pollenwalk/process/sidecar_service.py
+++ b/pollenwalk/process/sidecar_service.py
@@ -79,7 +79,7 @@
         """Let an answer tell how many calls are still here."""
         if isinstance(item, Tokens):
             return item
-        ahead = self.work.admission.running + len(self.work.admission.waiting)
+        ahead = self.work.slot_queue.running + len(self.work.slot_queue.waiting)
         return item._replace(ahead=ahead)
 
     def check_boot(self, boot: str, outcome: Outcome) -> None:
--- a/pollenwalk/process/upstream_calls.py
+++ b/pollenwalk/process/upstream_calls.py
@@ -15,7 +15,7 @@
     Refusal,
     RefusalCode,
 )
-from pollenwalk.policy.admission import Admission
+from pollenwalk.policy.slot_queue import SlotQueue
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.grants import Grants
 from pollenwalk.process.sidecar_calls import SidecarCall, SidecarCalls
@@ -45,7 +45,7 @@
         self.tracer = tracer
         self.calls = SidecarCalls(clock)
         self.histories = SidecarHistories()
-        self.admission = Admission(clock)
+        self.slot_queue = SlotQueue(clock)
         self.grants = Grants(upstream, clock) if is_engine(upstream) else None
         self.spec: UpstreamSpec | None = None
 
@@ -61,7 +61,7 @@
         message = call.message
         deadline_ms = self.clock.now_ms() + message.deadline_in_ms
         try:
-            await self.admission.enter(
+            await self.slot_queue.acquire(
                 message.priority,
                 deadline_ms,
                 self.clock.now_ms() - message.age_ms,
@@ -74,7 +74,7 @@
         except Refusal as refusal:
             self.refused(call, refusal)
         finally:
-            self.admission.leave()
+            self.slot_queue.release()
             if not call.result.done():
                 call.fail(cut_short(), self.clock.now_ms())
 
--- a/standin/experiments/placement.py
+++ b/standin/experiments/placement.py
@@ -93,7 +93,7 @@
             + (one.request.max_tokens - len(one.stream.texts)) * engine.shape.step_ms
             for one in engine.batch
         ]
-        waiting = len(sidecar.work.admission.waiting) + len(engine.waiting)
+        waiting = len(sidecar.work.slot_queue.waiting) + len(engine.waiting)
         free = max(engine.shape.slots - len(work), 0)
         typical = sum(work) / len(work) if work else need.answer_ms
         queue_ms = max(waiting + 1 - free, 0) * typical / engine.shape.slots
--- a/test/policy/test_policies.py
+++ b/test/policy/test_policies.py
@@ -7,9 +7,9 @@
 import testtools
 
 from pollenwalk.errors import Refusal
-from pollenwalk.policy.admission import Admission
 from pollenwalk.policy.placement import HostView, Need, make_placement
 from pollenwalk.policy.program_admission import has_capacity
+from pollenwalk.policy.slot_queue import SlotQueue
 from test.helper import make_clock, virtual
 
 NEED = Need('p', 'rimouski', 'est', 200, {}, 400.0, 0.5)
@@ -101,86 +101,90 @@
         self.assertTrue(has_capacity([], 5))
 
 
-class AdmissionTest(testtools.TestCase):
+class SlotQueueTest(testtools.TestCase):
     """The queue before the slots."""
 
-    async def enter(
-        self, admission: Admission, name: str, level: int, born_ms: float
+    async def acquire_and_note(
+        self, slot_queue: SlotQueue, name: str, level: int, program_begun_ms: float
     ) -> None:
         """Enter and note the name when the turn comes."""
-        await admission.enter(level, 1_000_000, born_ms)
+        await slot_queue.acquire(level, 1_000_000, program_begun_ms)
         self.order.append(name)
 
-    def make(self, slots: int, limit: int) -> Admission:
+    def make_queue(self, slots: int, queue_limit: int) -> SlotQueue:
         """Make a queue."""
         self.order: list[str] = []
-        admission = Admission(make_clock())
-        admission.resize(slots, limit)
-        return admission
+        slot_queue = SlotQueue(make_clock())
+        slot_queue.resize(slots, queue_limit)
+        return slot_queue
 
     @virtual
     async def test_class_then_the_oldest_program(self) -> None:
-        admission = self.make(1, 10)
-        await admission.enter(5, 1_000_000, 0)
-        entering = [
-            asyncio.ensure_future(self.enter(admission, name, level, born_ms))
-            for name, level, born_ms in (
+        slot_queue = self.make_queue(1, 10)
+        await slot_queue.acquire(5, 1_000_000, 0)
+        acquiring = [
+            asyncio.ensure_future(
+                self.acquire_and_note(slot_queue, name, level, program_begun_ms)
+            )
+            for name, level, program_begun_ms in (
                 ('young', 5, 30.0),
                 ('old', 5, 10.0),
                 ('urgent', 3, 90.0),
             )
         ]
         await asyncio.sleep(0.01)
-        for _ in entering:
-            admission.leave()
+        for _ in acquiring:
+            slot_queue.release()
             await asyncio.sleep(0.01)
         self.assertEqual(['urgent', 'old', 'young'], self.order)
 
     @virtual
     async def test_nobody_starves(self) -> None:
-        admission = self.make(1, 10)
-        await admission.enter(5, 1_000_000, 0)
-        waiting = asyncio.ensure_future(self.enter(admission, 'low', 7, 0))
+        slot_queue = self.make_queue(1, 10)
+        await slot_queue.acquire(5, 1_000_000, 0)
+        waiting = asyncio.ensure_future(self.acquire_and_note(slot_queue, 'low', 7, 0))
         await asyncio.sleep(35)
-        late = asyncio.ensure_future(self.enter(admission, 'high', 5, 0))
+        late = asyncio.ensure_future(self.acquire_and_note(slot_queue, 'high', 5, 0))
         await asyncio.sleep(0.01)
-        admission.leave()
+        slot_queue.release()
         await asyncio.sleep(0.01)
         self.assertEqual(['low'], self.order)
-        admission.leave()
+        slot_queue.release()
         await asyncio.gather(waiting, late)
 
     @virtual
     async def test_full_queue_refuses_at_once(self) -> None:
-        admission = self.make(1, 1)
-        await admission.enter(5, 1_000_000, 0)
-        waiting = asyncio.ensure_future(self.enter(admission, 'waits', 5, 0))
+        slot_queue = self.make_queue(1, 1)
+        await slot_queue.acquire(5, 1_000_000, 0)
+        waiting = asyncio.ensure_future(
+            self.acquire_and_note(slot_queue, 'waits', 5, 0)
+        )
         await asyncio.sleep(0.01)
         try:
-            await admission.enter(5, 1_000_000, 0)
+            await slot_queue.acquire(5, 1_000_000, 0)
         except Refusal as refusal:
             self.assertEqual('not_run', refusal.outcome)
             self.assertIsNotNone(refusal.retry_after_ms)
         else:
             self.fail('the queue was not full')
-        admission.leave()
+        slot_queue.release()
         await waiting
 
     @virtual
     async def test_deadline_in_the_queue(self) -> None:
-        admission = self.make(1, 5)
-        await admission.enter(5, 1_000_000, 0)
+        slot_queue = self.make_queue(1, 5)
+        await slot_queue.acquire(5, 1_000_000, 0)
         with testtools.ExpectedException(Refusal):
-            await admission.enter(5, 200, 0)
-        self.assertEqual([], admission.waiting)
+            await slot_queue.acquire(5, 200, 0)
+        self.assertEqual([], slot_queue.waiting)
 
     @virtual
     async def test_cancelled_turn_frees_its_slot(self) -> None:
-        admission = self.make(1, 5)
-        await admission.enter(5, 1_000_000, 0)
-        waiting = asyncio.ensure_future(self.enter(admission, 'gone', 5, 0))
+        slot_queue = self.make_queue(1, 5)
+        await slot_queue.acquire(5, 1_000_000, 0)
+        waiting = asyncio.ensure_future(self.acquire_and_note(slot_queue, 'gone', 5, 0))
         await asyncio.sleep(0.01)
-        admission.leave()
+        slot_queue.release()
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
-        self.assertEqual(0, admission.running)
+        self.assertEqual(0, slot_queue.running)
