--- a/pollenwalk/policy/placement.py
+++ b/pollenwalk/policy/placement.py
@@ -18,8 +18,8 @@
         zone: its availability zone.
         region: its region.
         slots: calls it runs at a time.
-        reported: calls it had at its last report.
-        ahead: calls it is believed to have now.
+        reported_calls: calls it had at its last report.
+        estimated_calls: calls it is believed to have now.
     """
 
     sidecar: str
@@ -27,11 +27,11 @@
     zone: str
     region: str
     slots: int
-    reported: int
-    ahead: int
+    reported_calls: int
+    estimated_calls: int
 
 
-class Need(NamedTuple):
+class PlacementRequest(NamedTuple):
     """What is to be placed.
 
     Attributes:
@@ -39,8 +39,8 @@
         zone: where the entry is.
         region: where the entry is.
         prompt_tokens: tokens of the whole prompt.
-        held: prompt tokens known to be cached, by sidecar.
-        answer_ms: expected time of the answer once it runs.
+        cached_tokens: prompt tokens known to be cached, by sidecar.
+        expected_decode_ms: expected time of the answer once it runs.
         prefill_ms: time to compute one prompt token.
         avoid: sidecars that have just refused or failed.
     """
@@ -49,8 +49,8 @@
     zone: str
     region: str
     prompt_tokens: int
-    held: dict[str, int]
-    answer_ms: float
+    cached_tokens: dict[str, int]
+    expected_decode_ms: float
     prefill_ms: float
     avoid: frozenset[str] = frozenset()
 
@@ -58,20 +58,22 @@
 class Placement(Protocol):
     """A policy that picks an upstream host."""
 
-    def choose(self, hosts: Sequence[HostView], need: Need) -> HostView | None:
+    def choose(
+        self, hosts: Sequence[HostView], request: PlacementRequest
+    ) -> HostView | None:
         """Pick one of the hosts; None when there is none to pick."""
 
 
-def round_trip_ms(host: HostView, need: Need) -> float:
+def round_trip_ms(host: HostView, request: PlacementRequest) -> float:
     """Estimate the way to a host and back."""
-    if host.region != need.region:
+    if host.region != request.region:
         return CROSS_REGION_ROUND_TRIP_MS
-    return 0 if host.zone == need.zone else SAME_REGION_ROUND_TRIP_MS
+    return 0 if host.zone == request.zone else SAME_REGION_ROUND_TRIP_MS
 
 
-def usable(hosts: Sequence[HostView], need: Need) -> Sequence[HostView]:
+def usable(hosts: Sequence[HostView], request: PlacementRequest) -> Sequence[HostView]:
     """Leave out hosts to be avoided unless no other is left."""
-    fresh = [host for host in hosts if host.sidecar not in need.avoid]
+    fresh = [host for host in hosts if host.sidecar not in request.avoid]
     return fresh or hosts
 
 
@@ -86,21 +88,23 @@
         """Count prefill so many times."""
         self.prefill_weight = prefill_weight
 
-    def choose(self, hosts: Sequence[HostView], need: Need) -> HostView | None:
+    def choose(
+        self, hosts: Sequence[HostView], request: PlacementRequest
+    ) -> HostView | None:
         """Compare the expected finish at every usable host."""
         return min(
-            usable(hosts, need),
-            key=lambda host: (self.finish_ms(host, need), host.sidecar),
+            usable(hosts, request),
+            key=lambda host: (self.finish_ms(host, request), host.sidecar),
             default=None,
         )
 
-    def finish_ms(self, host: HostView, need: Need) -> float:
+    def finish_ms(self, host: HostView, request: PlacementRequest) -> float:
         """Estimate wait, prefill and path; decoding is the same everywhere."""
-        cached = need.held.get(host.sidecar, 0)
-        prefill = max(need.prompt_tokens - cached, 0) * need.prefill_ms
-        excess = max(host.ahead + 1 - host.slots, 0)
-        wait = excess * need.answer_ms / max(host.slots, 1)
-        return round_trip_ms(host, need) + wait + prefill * self.prefill_weight
+        cached = request.cached_tokens.get(host.sidecar, 0)
+        prefill = max(request.prompt_tokens - cached, 0) * request.prefill_ms
+        excess = max(host.estimated_calls + 1 - host.slots, 0)
+        wait = excess * request.expected_decode_ms / max(host.slots, 1)
+        return round_trip_ms(host, request) + wait + prefill * self.prefill_weight
 
 
 class RoundRobin:
@@ -110,9 +114,11 @@
         """Start with the first."""
         self.turn = 0
 
-    def choose(self, hosts: Sequence[HostView], need: Need) -> HostView | None:
+    def choose(
+        self, hosts: Sequence[HostView], request: PlacementRequest
+    ) -> HostView | None:
         """Pick the next host."""
-        choices = sorted(usable(hosts, need))
+        choices = sorted(usable(hosts, request))
         if not choices:
             return None
         self.turn += 1
@@ -126,11 +132,13 @@
         """Break ties by `rng`."""
         self.rng = rng
 
-    def choose(self, hosts: Sequence[HostView], need: Need) -> HostView | None:
+    def choose(
+        self, hosts: Sequence[HostView], request: PlacementRequest
+    ) -> HostView | None:
         """Compare the reports as they are."""
         return min(
-            usable(hosts, need),
-            key=lambda host: (host.reported, self.rng.random()),
+            usable(hosts, request),
+            key=lambda host: (host.reported_calls, self.rng.random()),
             default=None,
         )
 
@@ -142,13 +150,15 @@
         """Begin a program where the reported load is least."""
         self.fallback = LeastLoaded(rng)
 
-    def choose(self, hosts: Sequence[HostView], need: Need) -> HostView | None:
+    def choose(
+        self, hosts: Sequence[HostView], request: PlacementRequest
+    ) -> HostView | None:
         """Pick the host with the most cached tokens."""
-        choices = usable(hosts, need)
-        holding = [host for host in choices if need.held.get(host.sidecar)]
+        choices = usable(hosts, request)
+        holding = [host for host in choices if request.cached_tokens.get(host.sidecar)]
         if not holding:
-            return self.fallback.choose(choices, need)
-        return max(holding, key=lambda host: need.held[host.sidecar])
+            return self.fallback.choose(choices, request)
+        return max(holding, key=lambda host: request.cached_tokens[host.sidecar])
 
 
 def make_placement(name: str, rng: random.Random) -> Placement:
--- a/pollenwalk/policy/program_admission.py
+++ b/pollenwalk/policy/program_admission.py
@@ -35,7 +35,7 @@
     slots = sum(host.slots for host in hosts)
     if not slots:
         return True
-    waiting = sum(max(host.ahead - host.slots, 0) for host in hosts)
+    waiting = sum(max(host.estimated_calls - host.slots, 0) for host in hosts)
     wished = WAITING_PER_SLOT + MORE_PER_LEVEL * (MIDDLE_LEVEL - level)
     return waiting < max(wished, LEAST_PER_SLOT) * slots
 
--- a/pollenwalk/policy/slot_queue.py
+++ b/pollenwalk/policy/slot_queue.py
@@ -31,7 +31,7 @@
 def urgency(call: WaitingCall, now_ms: float) -> tuple[float, float, float]:
     """Order waiting calls: class with aging, then the program that began first.
 
-    A program once begun is so finished ahead of new ones.
+    Calls of programs that have begun so run before those of new programs.
     """
     waited_ms = now_ms - call.arrived_ms
     level = call.level - waited_ms // AGING_MS_PER_LEVEL
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -5,7 +5,7 @@
 from pollenwalk.connection.peer import Connection
 from pollenwalk.connection.wire import Answer, Dispatch
 from pollenwalk.errors import Fenced, Refusal, RefusalCode
-from pollenwalk.policy.placement import HostView, Need
+from pollenwalk.policy.placement import HostView, PlacementRequest
 from pollenwalk.program.history import ROOT, count_tokens
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.request.call import LiveCall
@@ -74,17 +74,17 @@
                     retry_after_ms=RETRY_AFTER_MS,
                 )
             hosts = self.context.fleet.views(self.request.upstream)
-            host = self.context.placement.choose(hosts, self.need())
+            host = self.context.placement.choose(hosts, self.placement_request())
             if host is not None:
                 return host
             await self.context.clock.sleep_ms(NO_HOST_PAUSE_MS)
 
-    def need(self) -> Need:
+    def placement_request(self) -> PlacementRequest:
         """Describe the call to the placement policy."""
         history = self.program.history
         prompt = self.live.history_tokens + self.message_tokens
         max_tokens = self.request.argument.get('max_tokens', DEFAULT_MAX_TOKENS)
-        return Need(
+        return PlacementRequest(
             self.program.id,
             self.context.location.zone,
             self.context.location.region,
--- a/standin/experiments/placement.py
+++ b/standin/experiments/placement.py
@@ -14,8 +14,8 @@
     ExpectedFinish,
     HostView,
     LeastLoaded,
-    Need,
     Placement,
+    PlacementRequest,
     RoundRobin,
     Sticky,
     round_trip_ms,
@@ -73,32 +73,34 @@
         """Look into the engines of `world`."""
         self.world = world
 
-    def choose(self, hosts: Sequence[HostView], need: Need) -> HostView | None:
+    def choose(
+        self, hosts: Sequence[HostView], request: PlacementRequest
+    ) -> HostView | None:
         """Pick the host that truly finishes first."""
         return min(
             hosts,
-            key=lambda host: (self.finish_ms(host, need), host.sidecar),
+            key=lambda host: (self.finish_ms(host, request), host.sidecar),
             default=None,
         )
 
-    def finish_ms(self, host: HostView, need: Need) -> float:
+    def finish_ms(self, host: HostView, request: PlacementRequest) -> float:
         """Count the steps before the call's first token."""
         engine = self.world.engines.get(host.sidecar)
         if engine is None:
-            return round_trip_ms(host, need) + host.ahead
-        cached = engine.cache.get(need.program, 0)
+            return round_trip_ms(host, request) + host.estimated_calls
+        cached = engine.cache.get(request.program, 0)
         sidecar = self.world.sidecars[host.sidecar].sidecar
         work = [
-            one.to_prefill * need.prefill_ms
+            one.to_prefill * request.prefill_ms
             + (one.request.max_tokens - len(one.stream.texts)) * engine.shape.step_ms
             for one in engine.batch
         ]
         waiting = len(sidecar.work.slot_queue.waiting) + len(engine.waiting)
         free = max(engine.shape.slots - len(work), 0)
-        typical = sum(work) / len(work) if work else need.answer_ms
+        typical = sum(work) / len(work) if work else request.expected_decode_ms
         queue_ms = max(waiting + 1 - free, 0) * typical / engine.shape.slots
-        prefill_ms = max(need.prompt_tokens - cached, 0) * need.prefill_ms
-        return round_trip_ms(host, need) + queue_ms + prefill_ms
+        prefill_ms = max(request.prompt_tokens - cached, 0) * request.prefill_ms
+        return round_trip_ms(host, request) + queue_ms + prefill_ms
 
 
 def make_policy(name: str, world: World, rng: random.Random) -> Placement:
--- a/test/policy/test_policies.py
+++ b/test/policy/test_policies.py
@@ -7,60 +7,60 @@
 import testtools
 
 from pollenwalk.errors import Refusal
-from pollenwalk.policy.placement import HostView, Need, make_placement
+from pollenwalk.policy.placement import HostView, PlacementRequest, make_placement
 from pollenwalk.policy.program_admission import has_capacity
 from pollenwalk.policy.slot_queue import SlotQueue
 from test.helper import make_clock, virtual
 
-NEED = Need('p', 'rimouski', 'est', 200, {}, 400.0, 0.5)
+REQUEST = PlacementRequest('p', 'rimouski', 'est', 200, {}, 400.0, 0.5)
 IDLE = HostView('a', 'a:1', 'rimouski', 'est', 4, 0, 0)
 
 
 class PlacementCase(NamedTuple):
-    """Hosts, a need, and the host that must be picked."""
+    """Hosts, a request, and the host that must be picked."""
 
     name: str
     hosts: tuple[HostView, ...]
-    need: Need
+    request: PlacementRequest
     chosen: str | None
 
 
 CASES = (
-    PlacementCase('nobody', (), NEED, None),
+    PlacementCase('nobody', (), REQUEST, None),
     PlacementCase(
         'the nearer of two idle ones',
         (IDLE._replace(sidecar='b', zone='saguenay'), IDLE),
-        NEED,
+        REQUEST,
         'a',
     ),
     PlacementCase(
         'not across the link for nothing',
-        (IDLE._replace(sidecar='b', region='ouest'), IDLE._replace(ahead=3)),
-        NEED,
+        (IDLE._replace(sidecar='b', region='ouest'), IDLE._replace(estimated_calls=3)),
+        REQUEST,
         'a',
     ),
     PlacementCase(
         'where the prefix is cached',
         (IDLE, IDLE._replace(sidecar='b', zone='saguenay')),
-        NEED._replace(held={'b': 190}),
+        REQUEST._replace(cached_tokens={'b': 190}),
         'b',
     ),
     PlacementCase(
         'away from a cached prefix when the wait costs more',
-        (IDLE, IDLE._replace(sidecar='b', ahead=40)),
-        NEED._replace(held={'b': 190}),
+        (IDLE, IDLE._replace(sidecar='b', estimated_calls=40)),
+        REQUEST._replace(cached_tokens={'b': 190}),
         'a',
     ),
     PlacementCase(
         'around a host that has just refused',
-        (IDLE, IDLE._replace(sidecar='b', ahead=9)),
-        NEED._replace(avoid=frozenset('a')),
+        (IDLE, IDLE._replace(sidecar='b', estimated_calls=9)),
+        REQUEST._replace(avoid=frozenset('a')),
         'b',
     ),
     PlacementCase(
         'back to it when there is no other',
         (IDLE,),
-        NEED._replace(avoid=frozenset('a')),
+        REQUEST._replace(avoid=frozenset('a')),
         'a',
     ),
 )
@@ -72,22 +72,22 @@
     def test_expected_finish(self) -> None:
         policy = make_placement('expected-finish', random.Random(1))
         for case in CASES:
-            host = policy.choose(case.hosts, case.need)
+            host = policy.choose(case.hosts, case.request)
             self.assertEqual(case.chosen, host.sidecar if host else None, case.name)
 
     def test_every_policy_picks_one_of_the_hosts(self) -> None:
         hosts = (IDLE, IDLE._replace(sidecar='b'), IDLE._replace(sidecar='c'))
         for name in ('round-robin', 'least-loaded', 'sticky', 'expected-finish'):
             policy = make_placement(name, random.Random(1))
-            self.assertIn(policy.choose(hosts, NEED), hosts)
-            self.assertIsNone(policy.choose((), NEED), name)
+            self.assertIn(policy.choose(hosts, REQUEST), hosts)
+            self.assertIsNone(policy.choose((), REQUEST), name)
 
 
 class ProgramAdmissionTest(testtools.TestCase):
     """Whether a new program may begin."""
 
     def test_room_by_load_and_level(self) -> None:
-        for ahead, level, room in (
+        for calls, level, expected in (
             (0, 5, True),
             (7, 5, True),
             (8, 5, False),
@@ -96,8 +96,8 @@
             (6, 9, False),
             (4, 9, True),
         ):
-            found = has_capacity([IDLE._replace(ahead=ahead)], level)
-            self.assertEqual(room, found, (ahead, level))
+            found = has_capacity([IDLE._replace(estimated_calls=calls)], level)
+            self.assertEqual(expected, found, (calls, level))
         self.assertTrue(has_capacity([], 5))
 
 
