--- a/pollenwalk/policy/host_choice.py
+++ b/pollenwalk/policy/host_choice.py
@@ -38,7 +38,7 @@
     suspected: bool
 
 
-class Work(NamedTuple):
+class CallCost(NamedTuple):
     """What a call costs a host.
 
     Attributes:
@@ -55,7 +55,7 @@
 class HostChoice(Protocol):
     """A policy that picks a host."""
 
-    def choose(self, candidates: Iterable[Candidate], work: Work) -> Candidate | None:
+    def choose(self, candidates: Iterable[Candidate], cost: CallCost) -> Candidate | None:
         """Pick one of the candidates; None where there is none."""
 
 
@@ -70,13 +70,13 @@
         """Break ties by `rng`."""
         self.rng = rng
 
-    def choose(self, candidates: Iterable[Candidate], work: Work) -> Candidate | None:
+    def choose(self, candidates: Iterable[Candidate], cost: CallCost) -> Candidate | None:
         """Compare the expected finish at every host that isn't suspected."""
         known = list(candidates)
         trusted = [one for one in known if not one.suspected] or known
         if not trusted:
             return None
-        estimates = [(finish_ms(one, work), one) for one in trusted]
+        estimates = [(finish_ms(one, cost), one) for one in trusted]
         best = min(estimate for estimate, _ in estimates)
         near_best = [one for estimate, one in estimates if estimate <= best + TIE_MS]
         return self.rng.choice(near_best)
@@ -93,18 +93,18 @@
     )
 
 
-def wait_ms(candidate: Candidate, work: Work) -> float:
+def wait_ms(candidate: Candidate, cost: CallCost) -> float:
     """Estimate the wait for a slot at a host."""
     slots = max(candidate.slots, 1)
     queued = max(candidate.load + 1 - slots, 0)
-    return queued * work.run_ms / slots
+    return queued * cost.run_ms / slots
 
 
-def finish_ms(candidate: Candidate, work: Work) -> float:
+def finish_ms(candidate: Candidate, cost: CallCost) -> float:
     """Estimate way, wait, reading and running at a host."""
     share = candidate.load / max(candidate.slots, 1)
-    crowding_ms = work.run_ms * CROWDING * min(share, 1)
-    unread = max(work.prompt_tokens - candidate.cached_tokens, 0)
-    reading_ms = unread * work.read_ms_per_token
-    waits_ms = round_trip_ms(candidate) + wait_ms(candidate, work)
+    crowding_ms = cost.run_ms * CROWDING * min(share, 1)
+    unread = max(cost.prompt_tokens - candidate.cached_tokens, 0)
+    reading_ms = unread * cost.read_ms_per_token
+    waits_ms = round_trip_ms(candidate) + wait_ms(candidate, cost)
     return waits_ms + crowding_ms + reading_ms
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -24,11 +24,11 @@
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.request.call_state import Call, call_deadline_ms
 from pollenwalk.request.http_messages import Request
-from pollenwalk.request.plain import run_plain
+from pollenwalk.request.unary import run_unary
 from pollenwalk.request.program_turn import ProgramTurn
 from pollenwalk.request.reply import Reply
-from pollenwalk.request.sends import Upstreams
-from pollenwalk.request.streamed import Turn, UnboundTurn, run_stream
+from pollenwalk.request.call_sender import ForwardingContext
+from pollenwalk.request.streaming import Turn, StandaloneTurn, run_stream
 from pollenwalk.version.in_force import InForce
 from pollenwalk.version.routes import Configuration, Route
 
@@ -99,7 +99,7 @@
             settings.regions,
         )
         self.metrics = GatewayMetrics()
-        self.upstreams = Upstreams(clock, self.pool, placing, self.metrics, rng)
+        self.forwarding_context = ForwardingContext(clock, self.pool, placing, self.metrics, rng)
         self.links = KeeperLinks(
             network,
             clock,
@@ -258,16 +258,16 @@
     async def run(self, call: Call, reply: Reply) -> None:
         """Run a call the way its route asks for."""
         if call.route.streams:
-            await run_stream(self.upstreams, call, self.turn_of(call), reply)
+            await run_stream(self.forwarding_context, call, self.turn_of(call), reply)
         else:
-            await run_plain(self.upstreams, call, reply)
+            await run_unary(self.forwarding_context, call, reply)
 
     def turn_of(self, call: Call) -> Turn:
         """Tell what a stream means to its program."""
         keeps = call.route.keeps_history
         if keeps or call.request.metadata.budget is not None:
             return ProgramTurn(self.keepers, call, self.metrics)
-        return UnboundTurn(call.request.body)
+        return StandaloneTurn(call.request.body)
 
 
 def deadline_passed() -> Refusal:
--- a/pollenwalk/process/placing.py
+++ b/pollenwalk/process/placing.py
@@ -3,7 +3,7 @@
 from pollenwalk.policy.host_choice import (
     Candidate,
     HostChoice,
-    Work,
+    CallCost,
     round_trip_ms,
     wait_ms,
 )
@@ -34,7 +34,7 @@
         self.regions = regions
         self.run_times: dict[str, float] = {}
 
-    def choose(self, call: Call, work: Work, avoid: set[str]) -> HostState | None:
+    def choose(self, call: Call, cost: CallCost, avoid: set[str]) -> HostState | None:
         """Pick a host that has not been tried; None where there is none."""
         now_ms = self.clock.now_ms()
         states = {
@@ -43,16 +43,16 @@
             if state.listed.id not in avoid
         }
         candidates = (self.candidate(state, now_ms) for state in states.values())
-        chosen = self.choice.choose(candidates, work)
+        chosen = self.choice.choose(candidates, cost)
         return None if chosen is None else states[chosen.host]
 
-    def least_wait_ms(self, call: Call, work: Work) -> float:
+    def least_wait_ms(self, call: Call, cost: CallCost) -> float:
         """Estimate the wait at the best host; 0 where there is none."""
         now_ms = self.clock.now_ms()
         states = self.book.usable(call.upstream)
         candidates = (self.candidate(state, now_ms) for state in states)
         waits = (
-            round_trip_ms(one) + wait_ms(one, work)
+            round_trip_ms(one) + wait_ms(one, cost)
             for one in candidates
             if not one.suspected
         )
--- a/pollenwalk/request/sends.py
+++ b/pollenwalk/request/call_sender.py
@@ -19,7 +19,7 @@
     RefusalCode,
 )
 from pollenwalk.platform.headers import resume_header, sent_headers
-from pollenwalk.policy.host_choice import Work
+from pollenwalk.policy.host_choice import CallCost
 from pollenwalk.policy.program_admission import is_wait_acceptable, retry_delay_ms
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.gateway_metrics import GatewayMetrics
@@ -38,7 +38,7 @@
 RETRY_AFTER_MS = 200
 
 
-class Upstreams(NamedTuple):
+class ForwardingContext(NamedTuple):
     """What sending needs of the process."""
 
     clock: Clock
@@ -48,7 +48,7 @@
     rng: random.Random
 
 
-class Sends:
+class CallSender:
     """The sends of one call.
 
     Attributes:
@@ -58,12 +58,12 @@
         tried: hosts that are not asked again.
     """
 
-    def __init__(self, upstreams: Upstreams, call: Call, body: bytes) -> None:
+    def __init__(self, context: ForwardingContext, call: Call, body: bytes) -> None:
         """Prepare to send `body`."""
-        self.upstreams = upstreams
+        self.context = context
         self.call = call
         self.body = body
-        self.work = Work(upstreams.placing.run_ms(call))
+        self.cost = CallCost(context.placing.run_ms(call))
         self.runs = 0
         self.sent_ms = 0.0
         self.waited = False
@@ -76,22 +76,22 @@
             Refusal: the hosts are too busy for one more program.
         """
         call = self.call
-        placing = self.upstreams.placing
-        wait_ms = placing.least_wait_ms(call, self.work)
+        placing = self.context.placing
+        wait_ms = placing.least_wait_ms(call, self.cost)
         if is_wait_acceptable(wait_ms, call.route.target_ms, call.route.priority):
             return
-        remaining_ms = call.remaining_ms(self.upstreams.clock.now_ms())
-        retry_after_ms = retry_delay_ms(remaining_ms, self.upstreams.rng)
+        remaining_ms = call.remaining_ms(self.context.clock.now_ms())
+        retry_after_ms = retry_delay_ms(remaining_ms, self.context.rng)
         logger.info(
             'turned_back',
             request=call.id,
             program=call.request.metadata.program,
             wait_ms=round(wait_ms),
-            run_ms=round(self.work.run_ms),
+            run_ms=round(self.cost.run_ms),
             priority=call.route.priority,
             retry_after_ms=round(retry_after_ms),
         )
-        self.upstreams.metrics.sent('turned_back')
+        self.context.metrics.sent('turned_back')
         raise Refusal(
             RefusalCode.OVERLOADED,
             f'{call.upstream}: too busy for one more program',
@@ -102,8 +102,8 @@
         """Learn how long a call that was answered whole has run."""
         if self.waited:
             return
-        run_ms = self.upstreams.clock.now_ms() - self.sent_ms
-        self.upstreams.placing.ran(self.call, run_ms)
+        run_ms = self.context.clock.now_ms() - self.sent_ms
+        self.context.placing.ran(self.call, run_ms)
 
     def may_run(self) -> bool:
         """Tell whether one more host may run the call."""
@@ -142,11 +142,11 @@
         Raises:
             Refusal: no host takes the call.
         """
-        clock = self.upstreams.clock
+        clock = self.context.clock
         target_ms = self.call.route.target_ms
         limit_ms = self.call.request.arrived_ms + target_ms * HOLD_SHARE
         while True:
-            state = self.upstreams.placing.choose(self.call, self.work, self.tried)
+            state = self.context.placing.choose(self.call, self.cost, self.tried)
             if state is not None:
                 return state
             if not self.tried or clock.now_ms() + ASK_AGAIN_MS > limit_ms:
@@ -176,15 +176,15 @@
             NotSent: the host did not run the call.
             BrokenAnswer: the host may have run the call.
         """
-        self.sent_ms = self.upstreams.clock.now_ms()
+        self.sent_ms = self.context.clock.now_ms()
         self.waited = state.load(self.sent_ms) >= state.listed.slots
         state.in_flight += 1
         try:
-            link = await self.upstreams.pool.take(state.listed)
+            link = await self.context.pool.take(state.listed)
         except BaseException:
             state.in_flight -= 1
             raise
-        exchange = Exchange(self.upstreams.pool, state, link)
+        exchange = Exchange(self.context.pool, state, link)
         try:
             await self.ask(exchange, last_event)
         except BaseException:
@@ -207,18 +207,18 @@
         head = await exchange.link.head(self.call.id)
         exchange.head = head
         if head.load is not None:
-            state.note_load(head.load, self.upstreams.clock.now_ms())
+            state.note_load(head.load, self.context.clock.now_ms())
         if head.refused:
             self.runs -= 1
             await exchange.body()
             raise NotSent(f'refused with status {head.status}')
         if not head.signed or head.encoded:
             raise BrokenAnswer(f'status {head.status} without a signature')
-        self.upstreams.metrics.sent('answered')
+        self.context.metrics.sent('answered')
 
     def log_send(self, state: HostState) -> None:
         """Log which host was chosen and what that rested on."""
-        now_ms = self.upstreams.clock.now_ms()
+        now_ms = self.context.clock.now_ms()
         logger.info(
             'sent',
             request=self.call.id,
@@ -231,7 +231,7 @@
 
     def headers(self, state: HostState, last_event: str) -> Headers:
         """Write the headers for one host."""
-        remaining_ms = self.call.remaining_ms(self.upstreams.clock.now_ms())
+        remaining_ms = self.call.remaining_ms(self.context.clock.now_ms())
         added = sent_headers(state.listed.id, remaining_ms, None)
         given = self.call.request.headers
         if last_event:
@@ -243,8 +243,8 @@
     def bounced(self, state: HostState, reason: str) -> None:
         """Note a host that did not run the call."""
         self.tried.add(state.listed.id)
-        self.upstreams.placing.bounced(state, reason)
-        self.upstreams.metrics.sent('not_run')
+        self.context.placing.bounced(state, reason)
+        self.context.metrics.sent('not_run')
         logger.info(
             'not_run',
             request=self.call.id,
@@ -255,8 +255,8 @@
     def broke(self, state: HostState, reason: str) -> None:
         """Note a host that may have run the call and gave no answer."""
         self.tried.add(state.listed.id)
-        state.failed(self.upstreams.clock.now_ms())
-        self.upstreams.metrics.sent('broken')
+        state.failed(self.context.clock.now_ms())
+        self.context.metrics.sent('broken')
         logger.warning(
             'broken_answer',
             request=self.call.id,
--- a/pollenwalk/request/streamed.py
+++ b/pollenwalk/request/streaming.py
@@ -10,7 +10,7 @@
 from pollenwalk.request.event_stream import Event, EventSplitter
 from pollenwalk.request.exchange import Exchange
 from pollenwalk.request.reply import Reply
-from pollenwalk.request.sends import Sends, Upstreams
+from pollenwalk.request.call_sender import CallSender, ForwardingContext
 
 
 class Turn(Protocol):
@@ -41,7 +41,7 @@
         """Settle what the turn has used, however it ended."""
 
 
-class UnboundTurn:
+class StandaloneTurn:
     """A stream that belongs to no program."""
 
     def __init__(self, body: bytes) -> None:
@@ -64,7 +64,7 @@
 
 
 async def run_stream(
-    upstreams: Upstreams,
+    context: ForwardingContext,
     call: Call,
     turn: Turn,
     reply: Reply,
@@ -77,24 +77,24 @@
     """
     try:
         body = await turn.prepare()
-        sends = Sends(upstreams, call, body)
+        sender = CallSender(context, call, body)
         if turn.begins_program:
-            sends.check_program_admission()
-        await StreamRun(sends, call, turn, reply).run()
+            sender.check_program_admission()
+        await StreamForwarder(sender, call, turn, reply).run()
     finally:
         turn.close()
 
 
-class StreamRun:
+class StreamForwarder:
     """One stream on its way to the caller.
 
     Attributes:
         last_event: id of the last event that was shown.
     """
 
-    def __init__(self, sends: Sends, call: Call, turn: Turn, reply: Reply) -> None:
+    def __init__(self, sender: CallSender, call: Call, turn: Turn, reply: Reply) -> None:
         """Prepare to pass a stream on."""
-        self.sends = sends
+        self.sender = sender
         self.call = call
         self.turn = turn
         self.reply = reply
@@ -102,12 +102,12 @@
 
     async def run(self) -> None:
         """Pass the stream on, from several hosts if it may be resumed."""
-        exchange = await self.sends.begin()
+        exchange = await self.sender.begin()
         while not await self.passed_on(exchange):
-            exchange = await self.sends.begin(self.last_event)
+            exchange = await self.sender.begin(self.last_event)
             self.check_resumed(exchange)
         if exchange.succeeded:
-            self.sends.note_run()
+            self.sender.note_run()
 
     def check_resumed(self, exchange: Exchange) -> None:
         """Refuse to join a failure to a stream that has begun."""
@@ -125,8 +125,8 @@
             with exchange:
                 await self.pass_answer(exchange)
         except BrokenAnswer as error:
-            self.sends.broke(exchange.state, error.message)
-            if self.sends.may_run():
+            self.sender.broke(exchange.state, error.message)
+            if self.sender.may_run():
                 return False
             raise
         exchange.state.worked()
@@ -160,9 +160,9 @@
         """Show the caller that the stream begins, unless it was shown."""
         if self.reply.started:
             return
-        upstreams = self.sends.upstreams
-        took_ms = upstreams.clock.now_ms() - self.call.request.arrived_ms
-        upstreams.metrics.first_event_seconds.observe({}, took_ms / MS_PER_SECOND)
+        context = self.sender.context
+        took_ms = context.clock.now_ms() - self.call.request.arrived_ms
+        context.metrics.first_event_seconds.observe({}, took_ms / MS_PER_SECOND)
         logger.info(
             'stream_begins',
             request=self.call.id,
--- a/pollenwalk/request/plain.py
+++ b/pollenwalk/request/unary.py
@@ -4,36 +4,36 @@
 from pollenwalk.request.call_state import Call
 from pollenwalk.request.exchange import Exchange
 from pollenwalk.request.reply import Reply
-from pollenwalk.request.sends import Sends, Upstreams
+from pollenwalk.request.call_sender import CallSender, ForwardingContext
 
 
-async def run_plain(upstreams: Upstreams, call: Call, reply: Reply) -> None:
+async def run_unary(context: ForwardingContext, call: Call, reply: Reply) -> None:
     """Run a call and pass its answer on once it is complete.
 
     Raises:
         Refusal: there is no complete answer.
     """
-    sends = Sends(upstreams, call, call.request.body)
+    sender = CallSender(context, call, call.request.body)
     while True:
-        exchange = await sends.begin()
-        body = await body_or_none(sends, exchange)
+        exchange = await sender.begin()
+        body = await body_or_none(sender, exchange)
         if body is not None:
             break
-        if not sends.may_run():
+        if not sender.may_run():
             raise Refusal(
                 RefusalCode.UPSTREAM_FAILED,
                 'the upstream host broke off its answer',
                 Outcome.UNKNOWN,
             )
-    sends.note_run()
+    sender.note_run()
     await reply.whole(exchange.head.status, exchange.head.headers, body)
 
 
-async def body_or_none(sends: Sends, exchange: Exchange) -> bytes | None:
+async def body_or_none(sender: CallSender, exchange: Exchange) -> bytes | None:
     """Read the body; None where it broke off."""
     try:
         with exchange:
             return await exchange.body()
     except BrokenAnswer as error:
-        sends.broke(exchange.state, error.message)
+        sender.broke(exchange.state, error.message)
         return None
--- a/test/policy/test_host_choice.py
+++ b/test/policy/test_host_choice.py
@@ -4,9 +4,9 @@
 
 import testtools
 
-from pollenwalk.policy.host_choice import Candidate, EarliestFinish, Work
+from pollenwalk.policy.host_choice import Candidate, EarliestFinish, CallCost
 
-WORK = Work(200, 1000, 0.005)
+COST = CallCost(200, 1000, 0.005)
 
 
 def candidate(name: str, **changes: object) -> Candidate:
@@ -20,7 +20,7 @@
 
     def choose(self, *candidates: Candidate) -> str | None:
         """Choose one."""
-        chosen = EarliestFinish(random.Random(1)).choose(candidates, WORK)
+        chosen = EarliestFinish(random.Random(1)).choose(candidates, COST)
         return None if chosen is None else chosen.host
 
     def test_no_host(self) -> None:
@@ -42,7 +42,7 @@
     def test_gateways_do_not_all_go_the_same_way(self) -> None:
         choice = EarliestFinish(random.Random(1))
         hosts = [candidate(name) for name in 'abcd']
-        chosen = {choice.choose(hosts, WORK).host for _ in range(50)}
+        chosen = {choice.choose(hosts, COST).host for _ in range(50)}
         self.assertEqual(set('abcd'), chosen)
 
     def test_load_spreads_over_hosts(self) -> None:
@@ -51,5 +51,5 @@
         choice = EarliestFinish(random.Random(1))
         for _ in range(64):
             hosts = [candidate(name, load=load) for name, load in loads.items()]
-            loads[choice.choose(hosts, WORK).host] += 1
+            loads[choice.choose(hosts, COST).host] += 1
         self.assertTrue(max(loads.values()) - min(loads.values()) <= 2, loads)
--- a/test/request/test_forwarding.py
+++ b/test/request/test_forwarding.py
@@ -17,9 +17,9 @@
 from pollenwalk.process.placing import Placing
 from pollenwalk.request.call_state import Call
 from pollenwalk.request.http_messages import Headers, Request, RequestMetadata
-from pollenwalk.request.plain import run_plain
-from pollenwalk.request.sends import Upstreams
-from pollenwalk.request.streamed import UnboundTurn, run_stream
+from pollenwalk.request.unary import run_unary
+from pollenwalk.request.call_sender import ForwardingContext
+from pollenwalk.request.streaming import StandaloneTurn, run_stream
 from pollenwalk.version.routes import CallKind, Route, Share
 from standin.platform.host import (
     Line,
@@ -154,7 +154,7 @@
         pairs = zip(names, scripts, strict=True)
         self.hosts = [ScriptedHost(name, script) for name, script in pairs]
 
-    async def upstreams(self) -> Upstreams:
+    async def start(self) -> ForwardingContext:
         """Start all; one that comes first seems to be the least loaded."""
         clock = LoopClock()
         book = HostBook(clock)
@@ -165,7 +165,7 @@
             state.note_load((number * 4, 0, 4), clock.now_ms())
         choice = EarliestFinish(random.Random(1))
         placing = Placing(clock, book, choice, 'here', {'here': 'east'})
-        return Upstreams(
+        return ForwardingContext(
             clock,
             LinkPool(clock),
             placing,
@@ -197,16 +197,16 @@
 
 async def run(hosts: Hosts, route: Route) -> tuple[RecordedReply, Any]:
     """Run one call; gives what the caller got and the error, if any."""
-    upstreams = await hosts.upstreams()
+    context = await hosts.start()
     reply = RecordedReply()
     call = make_call(route)
     error = None
     try:
         if route.streams:
-            turn = UnboundTurn(call.request.body)
-            await run_stream(upstreams, call, turn, reply)
+            turn = StandaloneTurn(call.request.body)
+            await run_stream(context, call, turn, reply)
         else:
-            await run_plain(upstreams, call, reply)
+            await run_unary(context, call, reply)
     except (Refusal, BrokenAnswer) as caught:
         error = caught
     for host in hosts.hosts:
@@ -214,7 +214,7 @@
     return reply, error
 
 
-class FirstTurn(UnboundTurn):
+class FirstTurn(StandaloneTurn):
     """A stream with which a program begins."""
 
     def __init__(self, body: bytes) -> None:
@@ -226,21 +226,21 @@
 class ProgramAdmissionTest(testtools.TestCase):
     """Programs that begin while the only host is busy, or idle."""
 
-    async def begin(self, turn: UnboundTurn, waiting: int) -> tuple[Any, Any, Any]:
+    async def begin(self, turn: StandaloneTurn, waiting: int) -> tuple[Any, Any, Any]:
         """Run a turn; gives the hosts, what was learnt, and the error."""
         hosts = Hosts(streams)
-        upstreams = await hosts.upstreams()
-        state = next(upstreams.placing.book.usable('up'))
-        now_ms = upstreams.clock.now_ms()
+        context = await hosts.start()
+        state = next(context.placing.book.usable('up'))
+        now_ms = context.clock.now_ms()
         state.note_load((state.listed.slots, waiting, state.listed.slots), now_ms)
         call = make_call(STREAM)
         error = None
         try:
-            await run_stream(upstreams, call, turn, RecordedReply())
+            await run_stream(context, call, turn, RecordedReply())
         except Refusal as refusal:
             error = refusal
         hosts.hosts[0].stop()
-        return hosts, upstreams.placing.run_times, error
+        return hosts, context.placing.run_times, error
 
     @on_loop
     async def test_a_new_program_is_turned_back(self) -> None:
@@ -252,7 +252,7 @@
 
     @on_loop
     async def test_a_program_that_has_begun_is_not(self) -> None:
-        hosts, _, error = await self.begin(UnboundTurn(b'input'), 20)
+        hosts, _, error = await self.begin(StandaloneTurn(b'input'), 20)
         self.assertEqual([1], hosts.ran())
         self.assertIsNone(error)
 
@@ -264,13 +264,13 @@
 
     @on_loop
     async def test_run_times_are_learnt_without_waits(self) -> None:
-        _, learnt, _ = await self.begin(UnboundTurn(b'input'), 20)
+        _, learnt, _ = await self.begin(StandaloneTurn(b'input'), 20)
         self.assertEqual({}, learnt)
-        _, learnt, _ = await self.begin(UnboundTurn(b'input'), -1)
+        _, learnt, _ = await self.begin(StandaloneTurn(b'input'), -1)
         self.assertEqual(['r'], list(learnt))
 
 
-class PlainTest(testtools.TestCase):
+class UnaryTest(testtools.TestCase):
     """Calls with one answer."""
 
     @on_loop
@@ -332,10 +332,10 @@
     @on_loop
     async def test_nobody_listens_there(self) -> None:
         hosts = Hosts(works, works)
-        upstreams = await hosts.upstreams()
+        context = await hosts.start()
         hosts.hosts[0].stop()
         reply = RecordedReply()
-        await run_plain(upstreams, make_call(UNSAFE), reply)
+        await run_unary(context, make_call(UNSAFE), reply)
         self.assertEqual([0, 1], hosts.ran())
         hosts.hosts[1].stop()
 
@@ -403,16 +403,16 @@
             gone.set()
 
         hosts = Hosts(endless)
-        upstreams = await hosts.upstreams()
+        context = await hosts.start()
         call = make_call(STREAM)
-        turn = UnboundTurn(b'')
+        turn = StandaloneTurn(b'')
         running = asyncio.ensure_future(
-            run_stream(upstreams, call, turn, RecordedReply()),
+            run_stream(context, call, turn, RecordedReply()),
         )
         await asyncio.sleep(WAIT_S)
         running.cancel()
         async with asyncio.timeout(0.5):
             await gone.wait()
-        state = next(iter(upstreams.placing.book.states.values()))
+        state = next(iter(context.placing.book.states.values()))
         self.assertEqual(0, state.in_flight)
         hosts.hosts[0].stop()
