--- a/pollenwalk/policy/door.py
+++ b/pollenwalk/policy/program_admission.py
@@ -22,7 +22,7 @@
 LAST_RETURN_SHARE = 0.32
 
 
-def has_room(hosts: Sequence[HostView], level: int) -> bool:
+def has_capacity(hosts: Sequence[HostView], level: int) -> bool:
     """Tell whether an upstream can take one more program.
 
     Args:
@@ -35,12 +35,12 @@
     slots = sum(host.slots for host in hosts)
     if not slots:
         return True
-    waiting = sum(max(host.ahead - host.slots, 0) for host in hosts)
+    waiting = sum(max(host.estimated_calls - host.slots, 0) for host in hosts)
     wished = WAITING_PER_SLOT + MORE_PER_LEVEL * (MIDDLE_LEVEL - level)
     return waiting < max(wished, LEAST_PER_SLOT) * slots
 
 
-def may_begin(wait_ms: float, target_ms: float, priority: int) -> bool:
+def is_wait_acceptable(wait_ms: float, target_ms: float, priority: int) -> bool:
     """Tell whether a program may begin at a gateway that places calls itself.
 
     Answers bursts a little beyond what the hosts can run: where all programs
@@ -54,11 +54,11 @@
     return wait_ms <= target_ms * WAIT_SHARE / (1 + priority)
 
 
-def return_after_ms(rest_ms: float, dice: random.Random) -> float:
+def retry_delay_ms(remaining_ms: float, rng: random.Random) -> float:
     """Tell a caller that was turned back when to come again.
 
     Args:
-        rest_ms: the time that the caller has left.
-        dice: spreads the callers.
+        remaining_ms: the time that the caller has left.
+        rng: spreads the callers.
     """
-    return rest_ms * dice.uniform(FIRST_RETURN_SHARE, LAST_RETURN_SHARE)
+    return remaining_ms * rng.uniform(FIRST_RETURN_SHARE, LAST_RETURN_SHARE)
--- a/pollenwalk/process/sidecar.py
+++ b/pollenwalk/process/sidecar.py
@@ -65,7 +65,7 @@
         network: Network,
         clock: Clock,
         upstream: Engine | Service,
-        dice: random.Random,
+        rng: random.Random,
         tracer: Tracer,
     ) -> None:
         """Stand beside `upstream`; nothing is started yet."""
@@ -73,7 +73,7 @@
         self.network = network
         self.clock = clock
         self.tasks = TaskSet()
-        self.boot = f'{dice.getrandbits(ID_BITS):016x}'
+        self.boot = f'{rng.getrandbits(ID_BITS):016x}'
         self.work = UpstreamCalls(upstream, clock, self.tasks, tracer)
         self.service = SidecarService(self)
         self.server = PeerServer(
@@ -162,9 +162,9 @@
             settings.address,
             settings.zone,
             self.reports,
-            self.work.admission.running,
-            len(self.work.admission.waiting),
-            self.work.admission.slots,
+            self.work.slot_queue.running,
+            len(self.work.slot_queue.waiting),
+            self.work.slot_queue.slots,
             self.leaving,
             self.spec_version,
             self.digest,
@@ -204,5 +204,5 @@
             return
         self.work.spec = spec_from(Kind.UPSTREAM, message.spec)
         self.spec_version = message.version
-        self.work.admission.resize(self.work.spec.slots, self.work.spec.queue)
+        self.work.slot_queue.resize(self.work.spec.slots, self.work.spec.queue)
         self.send_report()
--- a/pollenwalk/request/parts.py
+++ b/pollenwalk/request/entry_context.py
@@ -1,4 +1,4 @@
-"""What a home needs to run calls."""
+"""What an entry gives the code that runs calls."""
 
 import random
 from typing import NamedTuple
@@ -13,12 +13,12 @@
 from pollenwalk.version.config import Configuration
 
 
-class Parts(NamedTuple):
-    """What a home needs to run calls."""
+class EntryContext(NamedTuple):
+    """What an entry gives the code that runs calls."""
 
     incarnation: str
     clock: Clock
-    dice: random.Random
+    rng: random.Random
     location: Location
     config: Configuration
     fleet: Fleet
