--- a/pollenwalk/connection/sidecar_api.py
+++ b/pollenwalk/connection/sidecar_api.py
@@ -50,8 +50,8 @@
     async def metrics(self, request: Request) -> Response:
         """Show the metrics in the Prometheus text format."""
         leases = self.sidecar.executor.leases
-        self.running.set({}, self.sidecar.executor.admission.running)
-        self.waiting.set({}, len(self.sidecar.executor.admission.waiting))
+        self.running.set({}, self.sidecar.executor.slot_queue.running)
+        self.waiting.set({}, len(self.sidecar.executor.slot_queue.waiting))
         self.kept.set({}, len(self.sidecar.executor.calls.by_id))
         self.leases.set({}, len(leases.expires_ms) if leases else 0)
         body, headers = render(self.registry, ['text/plain'])
--- a/pollenwalk/process/beginnings.py
+++ b/pollenwalk/process/beginnings.py
@@ -5,7 +5,7 @@
 
 from pollenwalk.connection.wire import BeginProgram
 from pollenwalk.errors import Refusal, RefusalCode
-from pollenwalk.policy.door import has_room
+from pollenwalk.policy.program_admission import has_capacity
 from pollenwalk.process.ids import new_program_id
 from pollenwalk.process.owner_interface import OwnerInterface
 from pollenwalk.process.recorder import store_unavailable
@@ -17,7 +17,7 @@
 
 BEGIN_WAIT_MS = 2000
 RETRY_AFTER_MS = 1000
-DOOR_RETRY_MS = (500, 2000)
+ADMISSION_RETRY_MS = (500, 2000)
 KEY_RETAIN_MS = 600_000
 
 
@@ -34,7 +34,7 @@
     def __init__(self, owner: OwnerInterface) -> None:
         """Begin programs at `home`."""
         self.owner = owner
-        self.parts = owner.parts
+        self.context = owner.context
         self.beginning: dict[tuple[str, str], Beginning] = {}
         self.claiming: dict[tuple[str, str], asyncio.Task[None]] = {}
         self.claimed_ms: dict[tuple[str, str], float] = {}
@@ -49,7 +49,7 @@
         if known is not None:
             return self.repeated(known, request)
         self.owner.check_open()
-        spec = self.parts.config.program(request.declaration)
+        spec = self.context.config.program(request.declaration)
         if spec is None:
             raise Refusal(
                 RefusalCode.UNKNOWN_DECLARATION,
@@ -70,7 +70,7 @@
             Fenced: this home has a successor; ask there.
         """
         try:
-            async with self.parts.clock.timeout_ms(BEGIN_WAIT_MS):
+            async with self.context.clock.timeout_ms(BEGIN_WAIT_MS):
                 await asyncio.shield(task)
         except TimeoutError as error:
             raise store_unavailable() from error
@@ -119,11 +119,13 @@
         task = self.claiming.get(identity)
         if task is None:
             record = Claimed(caller, key, program)
-            task = self.owner.tasks.spawn(self.parts.recorder.commit([record]), 'claim')
+            task = self.owner.tasks.spawn(
+                self.context.recorder.commit([record]), 'claim'
+            )
             self.claiming[identity] = task
             task.add_done_callback(lambda _: self.claiming.pop(identity, None))
         await self.durable(task)
-        self.claimed_ms[identity] = self.parts.clock.now_ms()
+        self.claimed_ms[identity] = self.context.clock.now_ms()
         return self.owner.book.claims[identity]
 
     def repeated(self, program: Program, request: BeginProgram) -> Program:
@@ -138,8 +140,8 @@
     def new_id(self, incarnation: str = '') -> str:
         """Make a program id that carries its home, this one unless named."""
         return new_program_id(
-            incarnation or self.parts.incarnation,
-            self.parts.dice,
+            incarnation or self.context.incarnation,
+            self.context.rng,
         )
 
     def begin_new(self, request: BeginProgram, spec: ProgramSpec) -> Beginning:
@@ -165,7 +167,7 @@
 
     def record(self, record: Begun) -> asyncio.Task[None]:
         """Start to record a beginning, a child's under its parent's lock."""
-        recorder = self.parts.recorder
+        recorder = self.context.recorder
         if not record.parent:
             return self.owner.tasks.spawn(recorder.commit([record]), 'begin')
         parent = self.owner.find(record.parent)
@@ -187,7 +189,7 @@
             self.check_parent(request.parent, limit)
             return
         self.check_room(request)
-        budget = self.parts.config.budget(request.caller)
+        budget = self.context.config.budget(request.caller)
         running = [
             program
             for program in self.owner.book.programs.values()
@@ -209,16 +211,16 @@
             Refusal: with a time to come back, drawn so that not all come
                 back at once.
         """
-        spec = self.parts.config.program(request.declaration)
-        level = self.parts.config.level(spec.priority)
+        spec = self.context.config.program(request.declaration)
+        level = self.context.config.level(spec.priority)
         for name in spec.upstreams:
-            upstream = self.parts.config.upstream(name)
-            hosts = self.parts.fleet.available_hosts(name)
-            if upstream and upstream.kind == 'model' and not has_room(hosts, level):
+            upstream = self.context.config.upstream(name)
+            hosts = self.context.fleet.available_hosts(name)
+            if upstream and upstream.kind == 'model' and not has_capacity(hosts, level):
                 raise Refusal(
                     RefusalCode.OVERLOADED,
                     f'{name} has too many calls waiting',
-                    retry_after_ms=self.parts.dice.randint(*DOOR_RETRY_MS),
+                    retry_after_ms=self.context.rng.randint(*ADMISSION_RETRY_MS),
                 )
 
     def check_parent(self, parent_id: str, limit: int) -> None:
@@ -238,7 +240,7 @@
 
     def drop_claims(self) -> None:
         """Forget keys whose retention has passed."""
-        now_ms = self.parts.clock.now_ms()
+        now_ms = self.context.clock.now_ms()
         for identity in list(self.owner.book.claims):
             claimed_ms = self.claimed_ms.setdefault(identity, now_ms)
             if now_ms - claimed_ms > KEY_RETAIN_MS:
--- a/pollenwalk/process/call_executor.py
+++ b/pollenwalk/process/call_executor.py
@@ -15,7 +15,7 @@
     Refusal,
     RefusalCode,
 )
-from pollenwalk.policy.admission import Admission
+from pollenwalk.policy.slot_queue import SlotQueue
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.memory_leases import MemoryLeases
 from pollenwalk.process.sidecar_calls import CallTable, SidecarCall
@@ -34,7 +34,7 @@
     Attributes:
         calls: the calls by id.
         histories: cached histories of programs, for model calls.
-        admission: the queue for the slots of the host.
+        slot_queue: the queue for the slots of the host.
         leases: leases on engine memory; None if the upstream is no engine.
         spec: the declaration of the upstream; None until an entry has sent it.
     """
@@ -60,7 +60,7 @@
         self.tracer = tracer
         self.calls = CallTable(clock)
         self.histories = SidecarHistories()
-        self.admission = Admission(clock)
+        self.slot_queue = SlotQueue(clock)
         self.leases = MemoryLeases(upstream, clock) if is_engine(upstream) else None
         self.spec: UpstreamSpec | None = None
 
@@ -80,7 +80,7 @@
         message = call.message
         deadline_ms = self.clock.now_ms() + message.deadline_in_ms
         try:
-            await self.admission.enter(
+            await self.slot_queue.acquire(
                 message.priority,
                 deadline_ms,
                 self.clock.now_ms() - message.age_ms,
@@ -93,7 +93,7 @@
         except Refusal as refusal:
             self.record_refusal(call, refusal)
         finally:
-            self.admission.leave()
+            self.slot_queue.release()
             if not call.result.done():
                 call.fail(cancelled_refusal(), self.clock.now_ms())
 
--- a/pollenwalk/process/daemon.py
+++ b/pollenwalk/process/daemon.py
@@ -90,7 +90,7 @@
     store = HttpStore(settings.section('store')['url'])
     hosts_url = settings.section('hosts').get('url')
     hosts = HttpHosts(hosts_url) if hosts_url else None
-    dice = random.Random()
+    rng = random.Random()
     entry = Entry(
         EntrySettings(
             section['address'],
@@ -103,9 +103,9 @@
         GrpcNetwork(),
         store,
         LoopClock(),
-        dice,
+        rng,
         tracer,
-        make_placement(section['placement'], dice),
+        make_placement(section['placement'], rng),
         hosts,
     )
     await entry.start()
--- a/pollenwalk/process/sidecar.py
+++ b/pollenwalk/process/sidecar.py
@@ -67,7 +67,7 @@
         network: Network,
         clock: Clock,
         upstream: Engine | Service,
-        dice: random.Random,
+        rng: random.Random,
         tracer: Tracer,
     ) -> None:
         """Create a sidecar for `upstream` without starting it."""
@@ -75,7 +75,7 @@
         self.network = network
         self.clock = clock
         self.tasks = TaskSet()
-        self.boot_id = f'{dice.getrandbits(ID_BITS):016x}'
+        self.boot_id = f'{rng.getrandbits(ID_BITS):016x}'
         self.executor = CallExecutor(upstream, clock, self.tasks, tracer)
         self.service = SidecarService(self)
         self.server = PeerServer(
@@ -172,9 +172,9 @@
             settings.address,
             settings.zone,
             self.report_number,
-            self.executor.admission.running,
-            len(self.executor.admission.waiting),
-            self.executor.admission.slots,
+            self.executor.slot_queue.running,
+            len(self.executor.slot_queue.waiting),
+            self.executor.slot_queue.slots,
             self.leaving,
             self.spec_version,
             self.entries_digest,
@@ -215,7 +215,7 @@
             return
         self.executor.spec = spec_from(Kind.UPSTREAM, message.spec)
         self.spec_version = message.version
-        self.executor.admission.resize(
+        self.executor.slot_queue.resize(
             self.executor.spec.slots, self.executor.spec.queue
         )
         self.send_report()
--- a/pollenwalk/process/sidecar_service.py
+++ b/pollenwalk/process/sidecar_service.py
@@ -94,7 +94,7 @@
         """Add the number of running and queued calls to an answer."""
         if isinstance(item, Tokens):
             return item
-        ahead = self.executor.admission.running + len(self.executor.admission.waiting)
+        ahead = self.executor.slot_queue.running + len(self.executor.slot_queue.waiting)
         return item._replace(ahead=ahead)
 
     def check_boot_id(self, boot_id: str, outcome: Outcome) -> None:
--- a/pollenwalk/process/store.py
+++ b/pollenwalk/process/store.py
@@ -92,9 +92,9 @@
         """
 
 
-def make_nonce(dice: random.Random) -> str:
+def make_nonce(rng: random.Random) -> str:
     """Return a random 64-bit id in hexadecimal, which marks one writer's object."""
-    return f'{dice.getrandbits(NONCE_BITS):016x}'
+    return f'{rng.getrandbits(NONCE_BITS):016x}'
 
 
 class Backoff:
--- a/test/policy/test_policies.py
+++ b/test/policy/test_policies.py
@@ -1,4 +1,4 @@
-"""Placement, admission and the door, case by case."""
+"""Placement, program admission and the queue for slots, case by case."""
 
 import asyncio
 import random
@@ -7,60 +7,60 @@
 import testtools
 
 from pollenwalk.errors import Refusal
-from pollenwalk.policy.admission import Admission
-from pollenwalk.policy.door import has_room
-from pollenwalk.policy.placement import HostView, Need, make_placement
+from pollenwalk.policy.placement import HostView, PlacementRequest, make_placement
+from pollenwalk.policy.program_admission import has_capacity
+from pollenwalk.policy.slot_queue import SlotQueue
 from test.helper import make_clock, virtual
 
-NEED = Need('p', 'rimouski', 'est', 200, {}, 400.0, 0.5)
+REQUEST = PlacementRequest('p', 'rimouski', 'est', 200, {}, 400.0, 0.5)
 IDLE = HostView('a', 'a:1', 'rimouski', 'est', 4, 0, 0)
 
 
 class PlacementCase(NamedTuple):
-    """Hosts, a need, and the host that must be picked."""
+    """Hosts, a request, and the host that must be picked."""
 
     name: str
     hosts: tuple[HostView, ...]
-    need: Need
+    request: PlacementRequest
     chosen: str | None
 
 
 CASES = (
-    PlacementCase('nobody', (), NEED, None),
+    PlacementCase('nobody', (), REQUEST, None),
     PlacementCase(
         'the nearer of two idle ones',
         (IDLE._replace(sidecar='b', zone='saguenay'), IDLE),
-        NEED,
+        REQUEST,
         'a',
     ),
     PlacementCase(
         'not across the link for nothing',
-        (IDLE._replace(sidecar='b', region='ouest'), IDLE._replace(ahead=3)),
-        NEED,
+        (IDLE._replace(sidecar='b', region='ouest'), IDLE._replace(estimated_calls=3)),
+        REQUEST,
         'a',
     ),
     PlacementCase(
         'where the prefix is cached',
         (IDLE, IDLE._replace(sidecar='b', zone='saguenay')),
-        NEED._replace(held={'b': 190}),
+        REQUEST._replace(cached_tokens={'b': 190}),
         'b',
     ),
     PlacementCase(
         'away from a cached prefix when the wait costs more',
-        (IDLE, IDLE._replace(sidecar='b', ahead=40)),
-        NEED._replace(held={'b': 190}),
+        (IDLE, IDLE._replace(sidecar='b', estimated_calls=40)),
+        REQUEST._replace(cached_tokens={'b': 190}),
         'a',
     ),
     PlacementCase(
         'around a host that has just refused',
-        (IDLE, IDLE._replace(sidecar='b', ahead=9)),
-        NEED._replace(avoid=frozenset('a')),
+        (IDLE, IDLE._replace(sidecar='b', estimated_calls=9)),
+        REQUEST._replace(avoid=frozenset('a')),
         'b',
     ),
     PlacementCase(
         'back to it when there is no other',
         (IDLE,),
-        NEED._replace(avoid=frozenset('a')),
+        REQUEST._replace(avoid=frozenset('a')),
         'a',
     ),
 )
@@ -72,22 +72,22 @@
     def test_expected_finish(self) -> None:
         policy = make_placement('expected-finish', random.Random(1))
         for case in CASES:
-            host = policy.choose(case.hosts, case.need)
+            host = policy.choose(case.hosts, case.request)
             self.assertEqual(case.chosen, host.sidecar if host else None, case.name)
 
     def test_every_policy_picks_one_of_the_hosts(self) -> None:
         hosts = (IDLE, IDLE._replace(sidecar='b'), IDLE._replace(sidecar='c'))
         for name in ('round-robin', 'least-loaded', 'sticky', 'expected-finish'):
             policy = make_placement(name, random.Random(1))
-            self.assertIn(policy.choose(hosts, NEED), hosts)
-            self.assertIsNone(policy.choose((), NEED), name)
+            self.assertIn(policy.choose(hosts, REQUEST), hosts)
+            self.assertIsNone(policy.choose((), REQUEST), name)
 
 
-class DoorTest(testtools.TestCase):
+class ProgramAdmissionTest(testtools.TestCase):
     """Whether a new program may begin."""
 
     def test_room_by_load_and_level(self) -> None:
-        for ahead, level, room in (
+        for calls, level, expected in (
             (0, 5, True),
             (7, 5, True),
             (8, 5, False),
@@ -96,91 +96,95 @@
             (6, 9, False),
             (4, 9, True),
         ):
-            found = has_room([IDLE._replace(ahead=ahead)], level)
-            self.assertEqual(room, found, (ahead, level))
-        self.assertTrue(has_room([], 5))
+            found = has_capacity([IDLE._replace(estimated_calls=calls)], level)
+            self.assertEqual(expected, found, (calls, level))
+        self.assertTrue(has_capacity([], 5))
 
 
-class AdmissionTest(testtools.TestCase):
+class SlotQueueTest(testtools.TestCase):
     """The queue before the slots."""
 
-    async def enter(
-        self, admission: Admission, name: str, level: int, born_ms: float
+    async def acquire_and_note(
+        self, slot_queue: SlotQueue, name: str, level: int, program_begun_ms: float
     ) -> None:
         """Enter and note the name when the turn comes."""
-        await admission.enter(level, 1_000_000, born_ms)
+        await slot_queue.acquire(level, 1_000_000, program_begun_ms)
         self.order.append(name)
 
-    def make(self, slots: int, limit: int) -> Admission:
+    def make_queue(self, slots: int, queue_limit: int) -> SlotQueue:
         """Make a queue."""
         self.order: list[str] = []
-        admission = Admission(make_clock())
-        admission.resize(slots, limit)
-        return admission
+        slot_queue = SlotQueue(make_clock())
+        slot_queue.resize(slots, queue_limit)
+        return slot_queue
 
     @virtual
     async def test_class_then_the_oldest_program(self) -> None:
-        admission = self.make(1, 10)
-        await admission.enter(5, 1_000_000, 0)
-        entering = [
-            asyncio.ensure_future(self.enter(admission, name, level, born_ms))
-            for name, level, born_ms in (
+        slot_queue = self.make_queue(1, 10)
+        await slot_queue.acquire(5, 1_000_000, 0)
+        acquiring = [
+            asyncio.ensure_future(
+                self.acquire_and_note(slot_queue, name, level, program_begun_ms)
+            )
+            for name, level, program_begun_ms in (
                 ('young', 5, 30.0),
                 ('old', 5, 10.0),
                 ('urgent', 3, 90.0),
             )
         ]
         await asyncio.sleep(0.01)
-        for _ in entering:
-            admission.leave()
+        for _ in acquiring:
+            slot_queue.release()
             await asyncio.sleep(0.01)
         self.assertEqual(['urgent', 'old', 'young'], self.order)
 
     @virtual
     async def test_nobody_starves(self) -> None:
-        admission = self.make(1, 10)
-        await admission.enter(5, 1_000_000, 0)
-        waiting = asyncio.ensure_future(self.enter(admission, 'low', 7, 0))
+        slot_queue = self.make_queue(1, 10)
+        await slot_queue.acquire(5, 1_000_000, 0)
+        waiting = asyncio.ensure_future(self.acquire_and_note(slot_queue, 'low', 7, 0))
         await asyncio.sleep(35)
-        late = asyncio.ensure_future(self.enter(admission, 'high', 5, 0))
+        late = asyncio.ensure_future(self.acquire_and_note(slot_queue, 'high', 5, 0))
         await asyncio.sleep(0.01)
-        admission.leave()
+        slot_queue.release()
         await asyncio.sleep(0.01)
         self.assertEqual(['low'], self.order)
-        admission.leave()
+        slot_queue.release()
         await asyncio.gather(waiting, late)
 
     @virtual
     async def test_full_queue_refuses_at_once(self) -> None:
-        admission = self.make(1, 1)
-        await admission.enter(5, 1_000_000, 0)
-        waiting = asyncio.ensure_future(self.enter(admission, 'waits', 5, 0))
+        slot_queue = self.make_queue(1, 1)
+        await slot_queue.acquire(5, 1_000_000, 0)
+        waiting = asyncio.ensure_future(
+            self.acquire_and_note(slot_queue, 'waits', 5, 0)
+        )
         await asyncio.sleep(0.01)
         try:
-            await admission.enter(5, 1_000_000, 0)
+            await slot_queue.acquire(5, 1_000_000, 0)
         except Refusal as refusal:
             self.assertEqual('not_run', refusal.outcome)
             self.assertIsNotNone(refusal.retry_after_ms)
         else:
             self.fail('the queue was not full')
-        admission.leave()
+        slot_queue.release()
         await waiting
 
     @virtual
     async def test_deadline_in_the_queue(self) -> None:
-        admission = self.make(1, 5)
-        await admission.enter(5, 1_000_000, 0)
+        slot_queue = self.make_queue(1, 5)
+        await slot_queue.acquire(5, 1_000_000, 0)
         with testtools.ExpectedException(Refusal):
-            await admission.enter(5, 200, 0)
-        self.assertEqual([], admission.waiting)
+            await slot_queue.acquire(5, 200, 0)
+        self.assertEqual([], slot_queue.waiting)
 
     @virtual
     async def test_cancelled_turn_frees_its_slot(self) -> None:
-        admission = self.make(1, 5)
-        await admission.enter(5, 1_000_000, 0)
-        waiting = asyncio.ensure_future(self.enter(admission, 'gone', 5, 0))
+        slot_queue = self.make_queue(1, 5)
+        await slot_queue.acquire(5, 1_000_000, 0)
+        waiting = asyncio.ensure_future(self.acquire_and_note(slot_queue, 'gone', 5, 0))
         await asyncio.sleep(0.01)
-        admission.leave()
+        slot_queue.release()
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
-        self.assertEqual(0, admission.running)
+        self.assertEqual(0, slot_queue.running)
