--- a/test/process/test_logs.py
+++ b/test/process/test_logs.py
@@ -1,4 +1,8 @@
-"""Logs whose reader stops."""
+"""Log lines are dropped, and never block, if the reader stops or the rate is high.
+
+A daemon's standard output is a pipe. Once it is full, a direct write would block
+the process for as long as the reader does not read.
+"""
 
 import json
 import os
@@ -10,50 +14,50 @@
 from pollenwalk.process import logs
 from pollenwalk.process.logs import LineWriter
 
-MANY = 20_000
+LINES = 20_000
 
 
 class LogsTest(testtools.TestCase):
-    """A process never waits for whoever reads its logs."""
+    """The log writer."""
 
     def setUp(self) -> None:
-        """Take the logger over, and give it back."""
+        """Remove the logger's sinks before and after each test."""
         super().setUp()
         logger.remove()
         self.addCleanup(logger.remove)
 
-    def test_a_reader_that_stops(self) -> None:
+    def test_stopped_reader_does_not_block(self) -> None:
         reader, writer = os.pipe()
-        self.patch(logs, 'MAX_LINES_PER_SECOND', MANY * 2)
+        self.patch(logs, 'MAX_LINES_PER_SECOND', LINES * 2)
         target = os.fdopen(writer, 'w')
-        lines = LineWriter(target)
-        logger.add(lines.enqueue, format='{message}')
+        line_writer = LineWriter(target)
+        logger.add(line_writer.enqueue, format='{message}')
         done = threading.Event()
 
-        def work() -> None:
-            for number in range(MANY):
+        def log_lines() -> None:
+            for number in range(LINES):
                 logger.info('sent', request=f'r{number}')
             done.set()
 
-        threading.Thread(target=work, daemon=True).start()
+        threading.Thread(target=log_lines, daemon=True).start()
         self.assertTrue(done.wait(30))
-        self.assertTrue(lines.dropped > 0)
-        self.assertTrue(len(lines.queue) <= logs.MAX_QUEUED_LINES)
+        self.assertTrue(line_writer.dropped > 0)
+        self.assertTrue(len(line_writer.queue) <= logs.MAX_QUEUED_LINES)
         os.close(reader)
 
-    def test_the_rate_is_bounded_and_gaps_are_told(self) -> None:
+    def test_lines_over_the_rate_are_counted(self) -> None:
         reader, writer = os.pipe()
         self.patch(logs, 'MAX_LINES_PER_SECOND', 5)
         seconds = iter([1.0] * 8 + [2.0] * 8)
         self.patch(logs.time, 'monotonic', lambda: next(seconds))
-        lines = LineWriter(os.fdopen(writer, 'w'))
-        logger.add(lines.enqueue, format='{message}')
+        line_writer = LineWriter(os.fdopen(writer, 'w'))
+        logger.add(line_writer.enqueue, format='{message}')
         for _ in range(9):
             logger.info('sent')
-        lines.flush(5)
+        line_writer.flush(5)
         written = os.read(reader, 100_000).decode().splitlines()
         events = [json.loads(line) for line in written]
         self.assertEqual(
-            ['sent'] * 5 + ['dropped', 'sent'], [one['event'] for one in events]
+            ['sent'] * 5 + ['dropped', 'sent'], [event['event'] for event in events]
         )
         self.assertEqual(3, events[5]['lines'])
--- a/test/process/test_settings.py
+++ b/test/process/test_settings.py
@@ -1,4 +1,7 @@
-"""Settings and resources: every error at once, and noise is never a crash."""
+"""Parsing of settings and resources: all errors are reported at once.
+
+Arbitrary text must end in a UserError or parse, never in another exception.
+"""
 
 import hypothesis
 import testtools
@@ -34,24 +37,24 @@
 
 
 class SettingsTest(testtools.TestCase):
-    """The settings reader."""
+    """Parsing of settings."""
 
-    def test_defaults_complete_what_is_given(self) -> None:
+    def test_missing_keys_get_defaults(self) -> None:
         settings = parse_settings(GOOD, 'good.ini', 'entry')
         self.assertEqual(2, settings.section('entry')['witnesses'])
         self.assertEqual({'rimouski': 'est'}, settings.regions)
 
-    def test_each_error_names_its_place(self) -> None:
+    def test_each_error_names_section_and_key(self) -> None:
         for name, text, section, key in BAD:
             try:
                 parse_settings(text, 'bad.ini', 'entry')
             except InvalidFile as error:
-                places = [(one.section, one.key) for one in error.problems]
+                places = [(problem.section, problem.key) for problem in error.problems]
                 self.assertEqual([(section, key)], places, name)
             else:
                 self.fail(name)
 
-    def test_all_errors_at_once(self) -> None:
+    def test_all_errors_are_reported_at_once(self) -> None:
         text = '[entry]\naddress = x\nhttp = y\nwitnesses = z\n[nope]\n'
         try:
             parse_settings(text, 'bad.ini', 'entry')
@@ -60,7 +63,7 @@
         else:
             self.fail('no error')
 
-    def test_every_key_is_in_the_commented_defaults(self) -> None:
+    def test_every_key_is_in_the_default_file(self) -> None:
         text = default_text()
         for section, schema in SCHEMAS.items():
             self.assertIn(f'[{section}]', text)
@@ -69,7 +72,7 @@
 
     @hypothesis.settings(derandomize=True, max_examples=200, database=None)
     @hypothesis.given(strategies.text(max_size=120))
-    def test_noise_is_a_user_error(self, noise: str) -> None:
+    def test_arbitrary_text_raises_only_user_errors(self, noise: str) -> None:
         for parse in (
             lambda text: parse_settings(text, 'noise', 'entry'),
             lambda text: parse_resources(text, 'noise'),
@@ -93,16 +96,19 @@
 
 
 class ResourcesTest(testtools.TestCase):
-    """The resource reader."""
+    """Parsing of resources."""
 
-    def test_declarations(self) -> None:
-        resources = {one.id: one.spec for one in parse_resources(DECLARATIONS, 'x')}
+    def test_valid_resources(self) -> None:
+        resources = {
+            resource.id: resource.spec
+            for resource in parse_resources(DECLARATIONS, 'x')
+        }
         self.assertEqual(8, len(resources))
         spec = resources[Kind.PROGRAM, 'tea-chest']
         self.assertIsInstance(spec, ProgramSpec)
         self.assertEqual(['appraisal', 'ledger'], spec.upstreams)
 
-    def test_bad_resources(self) -> None:
+    def test_each_bad_resource_is_refused(self) -> None:
         for name, text, part in BAD_RESOURCES:
             try:
                 parse_resources(text, 'bad.ini')
--- a/test/process/test_traces.py
+++ b/test/process/test_traces.py
@@ -1,4 +1,4 @@
-"""Spans of all hops under one trace, and logs as JSON lines."""
+"""Spans of one trace across processes, and logs as JSON lines."""
 
 import io
 import json
@@ -18,18 +18,18 @@
 
 
 class TracesTest(testtools.TestCase):
-    """A tracer that writes to a file."""
+    """A tracer that writes spans to a file, or records none."""
 
     def make_path(self) -> Path:
-        """Make an empty folder for one file."""
+        """Return a path in a new, empty directory."""
         return Path(tempfile.mkdtemp()) / 'spans.jsonl'
 
-    def test_hops_share_the_callers_trace(self) -> None:
+    def test_spans_share_the_callers_trace(self) -> None:
         path = self.make_path()
         tracer = make_tracer(str(path), 1.0)
         entry = tracer.span('entry', HEADER)
-        with entry as header, tracer.span('dispatch', header) as deeper:
-            self.assertIn(TRACE, deeper)
+        with entry as header, tracer.span('dispatch', header) as next_header:
+            self.assertIn(TRACE, next_header)
         tracer.close()
         spans = [json.loads(line) for line in path.read_text().splitlines()]
         self.assertEqual(['dispatch', 'entry'], [span['name'] for span in spans])
@@ -37,21 +37,21 @@
         self.assertEqual({f'0x{TRACE}'}, traces)
         self.assertEqual(spans[1]['context']['span_id'], spans[0]['parent_id'])
 
-    def test_noise_starts_a_trace_of_its_own(self) -> None:
+    def test_invalid_header_starts_a_new_trace(self) -> None:
         tracer = make_tracer(str(self.make_path()), 1.0)
         with tracer.span('entry', 'noise') as header:
             self.assertNotIn(TRACE, header)
         tracer.close()
 
-    def test_without_a_file_the_header_is_passed_on(self) -> None:
+    def test_without_a_file_the_header_stays_unchanged(self) -> None:
         with Tracer().span('entry', HEADER) as header:
             self.assertEqual(HEADER, header)
 
 
 class LogsTest(testtools.TestCase):
-    """Logs on standard error."""
+    """Logs of commands, on standard error."""
 
-    def test_json_lines(self) -> None:
+    def test_events_are_json_lines(self) -> None:
         target = io.StringIO()
         with redirect_stderr(target):
             writer = set_up_logs('INFO')
@@ -63,6 +63,6 @@
         self.assertEqual(['entry_ready'], [line['event'] for line in lines])
         self.assertEqual('abc', lines[0]['incarnation'])
 
-    def test_unknown_level(self) -> None:
+    def test_unknown_level_is_a_user_error(self) -> None:
         with testtools.ExpectedException(UserError):
             set_up_logs('LOUD')
