--- a/pollenwalk/process/keeper_group.py
+++ b/pollenwalk/process/keeper_group.py
@@ -91,7 +91,7 @@
         """
         links = [link for link in self.links.ordered() if not link.member.retiring]
         names = [link.member.name for link in links[: self.copies]]
-        held = record._replace(holders=names)
+        held = record._replace(replicas=names)
         await Copies(self.links, held, links, self.copies).make()
         self.cache.put(held)
         return names
--- a/pollenwalk/process/keeper_state.py
+++ b/pollenwalk/process/keeper_state.py
@@ -115,7 +115,7 @@
             copies: that are needed.
         """
         for record in list(self.turns.records.values()):
-            if len(set(record.holders).intersection(alive)) < copies:
+            if len(set(record.replicas).intersection(alive)) < copies:
                 yield encode_datagram(record)
 
     async def take_over(self, records: Iterable[bytes]) -> int:
--- a/pollenwalk/process/retirement.py
+++ b/pollenwalk/process/retirement.py
@@ -113,10 +113,10 @@
     async def push_turns(self, member: Member, others: list[Member]) -> None:
         """Give another keeper the turns that it is to hold and lacks."""
         held = (
-            record._replace(holders=self.new_holders(record, others))
+            record._replace(replicas=self.new_replicas(record, others))
             for record in list(self.keeper.state.turns.records.values())
         )
-        records = {one.turn: one for one in held if member.name in one.holders}
+        records = {one.turn: one for one in held if member.name in one.replicas}
         link = self.keeper.links.link(member)
         missing: Missing = await self.keeper.links.ask(
             link,
@@ -125,11 +125,11 @@
         lacking = (encode_datagram(records[turn]) for turn in missing.turns)
         await self.push(member, lacking)
 
-    def new_holders(self, record: TurnRecord, others: list[Member]) -> list[str]:
-        """Choose who holds a turn from now on: its holders, then the nearest."""
+    def new_replicas(self, record: TurnRecord, others: list[Member]) -> list[str]:
+        """Choose the keepers of a turn from now on: its replicas, then the nearest."""
         names = [one.name for one in others]
-        staying = [name for name in names if name in record.holders]
-        fresh = [name for name in names if name not in record.holders]
+        staying = [name for name in names if name in record.replicas]
+        fresh = [name for name in names if name not in record.replicas]
         return [*staying, *fresh][: self.keeper.copies]
 
     async def push(self, member: Member, records: Iterable[bytes]) -> None:
--- a/pollenwalk/process/upkeep.py
+++ b/pollenwalk/process/upkeep.py
@@ -37,7 +37,7 @@
 
         A sidecar that can't be reached returns it when the lease lapses.
         """
-        pending = list(program.holders)
+        pending = list(program.engine_sidecars)
         for _ in range(RELEASE_ATTEMPTS):
             pending = [
                 address
@@ -72,7 +72,7 @@
         for program in self.home.book.programs.values():
             if program.ended:
                 continue
-            for address in program.holders:
+            for address in program.engine_sidecars:
                 holdings.setdefault(address, []).append(program.id)
         return holdings
 
--- a/pollenwalk/program/program.py
+++ b/pollenwalk/program/program.py
@@ -50,7 +50,7 @@
     entries: list[HistoryItem]
     finished: list[FinishedCall]
     intents: list[Intended]
-    holders: list[str]
+    engine_sidecars: list[str]
     uncertain: bool = False
 
 
@@ -75,7 +75,7 @@
         self.history = History()
         self.finished: dict[str, FinishedCall] = {}
         self.intents: dict[str, Intended] = {}
-        self.holders: dict[str, None] = {}
+        self.engine_sidecars: dict[str, None] = {}
         self.uncertain = False
 
     def state(self) -> ProgramState:
@@ -92,7 +92,7 @@
             list(self.history.entries),
             list(self.finished.values()),
             list(self.intents.values()),
-            list(self.holders),
+            list(self.engine_sidecars),
             self.uncertain,
         )
 
@@ -116,7 +116,7 @@
         program.history.extend(state.entries)
         program.finished = {call.key: call for call in state.finished}
         program.intents = {intent.key: intent for intent in state.intents}
-        program.holders = dict.fromkeys(state.holders)
+        program.engine_sidecars = dict.fromkeys(state.engine_sidecars)
         program.uncertain = state.uncertain
         return program
 
@@ -127,8 +127,8 @@
         self.next_sequence = max(self.next_sequence, record.sequence + 1)
         self.history.extend(record.entries)
         self.budget = self.budget.settle(record.spent, record.reserve)
-        if record.holder:
-            self.holders[record.holder] = None
+        if record.engine_sidecar:
+            self.engine_sidecars[record.engine_sidecar] = None
 
 
 def snapshot_of(program: Program, origin: str = '') -> Snapshot:
--- a/pollenwalk/program/records.py
+++ b/pollenwalk/program/records.py
@@ -74,7 +74,7 @@
 class Finished(NamedTuple):
     """A call has its final answer or refusal.
 
-    `holder` is the sidecar whose engine now holds memory for the program.
+    `engine_sidecar` is the sidecar whose engine now holds memory for the program.
     """
 
     program: str
@@ -88,7 +88,7 @@
     entries: list[HistoryItem]
     spent: int
     reserve: int
-    holder: str
+    engine_sidecar: str
 
 
 class Ended(NamedTuple):
--- a/pollenwalk/program/turns.py
+++ b/pollenwalk/program/turns.py
@@ -18,7 +18,7 @@
         made: the data of its events, each followed by a line feed.
         tokens: that were generated.
         kept_ms: how long it is kept after its last use.
-        holders: the keepers that were asked to hold it.
+        replicas: the keepers that were asked to hold it.
     """
 
     turn: str
@@ -28,7 +28,7 @@
     made: bytes
     tokens: int
     kept_ms: float
-    holders: list[str]
+    replicas: list[str]
 
     @property
     def size(self) -> int:
--- a/pollenwalk/request/program_turn.py
+++ b/pollenwalk/request/program_turn.py
@@ -109,19 +109,19 @@
             made=b''.join(self.made),
             tokens=self.tokens,
             kept_ms=self.call.route.retention_ms,
-            holders=[],
+            replicas=[],
         )
         begun_ms = self.group.clock.now_ms()
         # Copies that were made before count: a record never changes.
         keeping = self.group.insist(lambda: self.group.keep(record))
-        holders = await self.require(keeping)
+        replicas = await self.require(keeping)
         took_ms = self.group.clock.now_ms() - begun_ms
         self.metrics.keep_seconds.observe({}, took_ms / MS_PER_SECOND)
         logger.info(
             'turn_kept',
             request=traits.id,
             previous=traits.previous,
-            keepers=holders,
+            keepers=replicas,
             took_ms=round(took_ms),
         )
 
--- a/test/process/test_keepers.py
+++ b/test/process/test_keepers.py
@@ -111,7 +111,7 @@
         await self.wait(500)
         return group
 
-    def holders(self, turn: str) -> set[str]:
+    def replicas(self, turn: str) -> set[str]:
         """Name the keepers on whose disks a turn is."""
         return {
             name
@@ -142,7 +142,7 @@
         before_ms = world.clock.now_ms()
         await group.keep(record('t1'))
         self.assertTrue(world.clock.now_ms() - before_ms < 10)
-        self.assertEqual({'a', 'b'}, world.holders('t1'))
+        self.assertEqual({'a', 'b'}, world.replicas('t1'))
 
     @virtual
     async def test_a_dead_keeper_is_passed_over(self) -> None:
@@ -150,7 +150,7 @@
         group = await world.three_and_group()
         await world.kill('b')
         await group.keep(record('t1'))
-        self.assertEqual({'a', 'c'}, world.holders('t1'))
+        self.assertEqual({'a', 'c'}, world.replicas('t1'))
 
     @virtual
     async def test_a_silent_keeper_is_passed_over(self) -> None:
@@ -162,7 +162,7 @@
         await group.keep(record('t1'))
         took_ms = world.clock.now_ms() - before_ms
         self.assertTrue(took_ms < NEAR_HEDGE_MS + 2 * ROUND_TRIP_MS + SLACK_MS)
-        self.assertEqual({'a', 'c'}, world.holders('t1'))
+        self.assertEqual({'a', 'c'}, world.replicas('t1'))
 
     @virtual
     async def test_too_few_keepers(self) -> None:
@@ -245,7 +245,7 @@
         group = await world.three_and_group('c')
         await group.keep(record('t1'))
         await forget(group)
-        self.assertEqual({'c', 'a'}, world.holders('t1'))
+        self.assertEqual({'c', 'a'}, world.replicas('t1'))
         for name in 'ac':
             await world.kill(name)
         world.disks['a'].wipe()
@@ -274,7 +274,7 @@
         keeper = await world.keeper('a')
         await world.wait(2000)
         self.assertTrue(keeper.state.complete)
-        self.assertEqual({'a', 'b'}, world.holders('t1'))
+        self.assertEqual({'a', 'b'}, world.replicas('t1'))
         await world.kill('b')
         chain = await group.chain('t1')
         self.assertEqual(['t1'], [one.turn for one in chain])
@@ -288,7 +288,7 @@
         await world.keeper('d')
         await world.wait(6000)
         self.assertEqual({'b', 'c', 'd'}, set(group.links.members.by_name))
-        self.assertEqual({'a', 'b', 'd'}, world.holders('t1'))
+        self.assertEqual({'a', 'b', 'd'}, world.replicas('t1'))
 
     @virtual
     async def test_one_that_was_only_cut_off_comes_back(self) -> None:
@@ -325,7 +325,7 @@
         group = await world.three_and_group()
         world.keepers['a'].own = world.keepers['a'].own._replace(retiring=True)
         await group.keep(record('t1'))
-        self.assertEqual({'b', 'c'}, world.holders('t1'))
+        self.assertEqual({'b', 'c'}, world.replicas('t1'))
         self.assertEqual(0, group.links.undecided_ms)
 
     @virtual
