--- a/pollenwalk/program/ledger.py
+++ b/pollenwalk/program/ledger.py
@@ -71,7 +71,7 @@
             self.accounts.pop(program)
 
 
-class Verdict(NamedTuple):
+class BudgetDecision(NamedTuple):
     """What a turn's reservation comes to.
 
     Attributes:
@@ -85,17 +85,17 @@
     fits: bool
 
     @property
-    def shown(self) -> int:
+    def settled_tokens(self) -> int:
         """Give the tokens of other turns that are over."""
         return self.others - self.unsettled
 
 
-def judge(
+def decide_reservation(
     known: Iterable[Iterable[TokenEntry]],
     turn: str,
     most: int,
     budget: int,
-) -> Verdict:
+) -> BudgetDecision:
     """Unite what keepers know and hold a turn against the budget.
 
     Args:
@@ -111,10 +111,10 @@
     united.pop(turn, None)
     others = sum(other.tokens for other in united.values())
     unsettled = sum(other.tokens for other in united.values() if not other.settled)
-    return Verdict(others, unsettled, others + most <= budget)
+    return BudgetDecision(others, unsettled, others + most <= budget)
 
 
-class Heard(NamedTuple):
+class AnswerCount(NamedTuple):
     """How many keepers have answered.
 
     Attributes:
@@ -126,23 +126,25 @@
     keepers: int
 
     @property
-    def decides(self) -> bool:
+    def is_majority(self) -> bool:
         """Tell whether it is a majority."""
         return self.answers > self.keepers // 2
 
     @property
-    def apart(self) -> int:
+    def disjoint_turns(self) -> int:
         """Give how many turns can have heard as many and not of each other."""
         return self.keepers // self.answers
 
     @property
-    def beside_majority(self) -> int:
+    def hidden_from_majority(self) -> int:
         """Give how many of these turns a majority can know nothing of."""
         minority = (self.keepers - 1) // 2
         return minority // self.answers
 
 
-def fits_unseen(verdict: Verdict, most: int, budget: int, heard: Heard) -> bool:
+def fits_with_hidden_turns(
+    decision: BudgetDecision, most: int, budget: int, answer_count: AnswerCount
+) -> bool:
     """Tell whether a turn may begin, whatever it can't have seen yet.
 
     Turns reserved at the same moment may have reached the keepers in different
@@ -153,16 +155,16 @@
     So a program never gets more than the most of one turn beyond its budget.
 
     Args:
-        verdict: what the answers come to.
+        decision: what the answers received so far add up to.
         most: the tokens that the turn itself may generate.
         budget: of the whole program.
-        heard: how many keepers have answered.
+        answer_count: how many keepers have answered.
     """
-    if heard.decides:
-        unseen = verdict.unsettled
-    elif verdict.unsettled or heard.beside_majority > 1:
+    if answer_count.is_majority:
+        unseen = decision.unsettled
+    elif decision.unsettled or answer_count.hidden_from_majority > 1:
         return False
     else:
         # One of them may go beyond the budget.
-        unseen = max(heard.apart - 2, 0) * most
-    return verdict.others + most + unseen <= budget
+        unseen = max(answer_count.disjoint_turns - 2, 0) * most
+    return decision.others + most + unseen <= budget
--- a/pollenwalk/request/reservation.py
+++ b/pollenwalk/request/reservation.py
@@ -9,7 +9,12 @@
 from pollenwalk.process.copies import keepers_unavailable
 from pollenwalk.process.gateway_metrics import GatewayMetrics
 from pollenwalk.process.keeper_group import KeeperGroup
-from pollenwalk.program.ledger import Heard, Verdict, fits_unseen, judge
+from pollenwalk.program.ledger import (
+    AnswerCount,
+    BudgetDecision,
+    decide_reservation,
+    fits_with_hidden_turns,
+)
 from pollenwalk.program.turns import ReserveTokens, Spent, TokenEntry
 from pollenwalk.request.call_state import Call
 
@@ -103,12 +108,12 @@
         """
         begun_ms = self.group.clock.now_ms()
         known = await self.ask_majority()
-        verdict = self.judged(known)
-        spent = verdict.shown + self.most > self.budget
-        if not (spent or self.has_headroom(verdict, len(known))):
+        decision = self.decision_on(known)
+        spent = decision.settled_tokens + self.most > self.budget
+        if not (spent or self.has_headroom(decision, len(known))):
             # Whoever reserved at the same time is seen by the second round.
             known.extend(await self.ask_majority())
-            verdict = self.judged(known)
+            decision = self.decision_on(known)
         took_ms = self.group.clock.now_ms() - begun_ms
         self.metrics.reserve_seconds.observe({}, took_ms / MS_PER_SECOND)
         logger.info(
@@ -116,12 +121,12 @@
             request=self.call.id,
             program=self.message.program,
             budget=self.budget,
-            others=verdict.others,
+            others=decision.others,
             most=self.most,
-            fits=verdict.fits,
+            fits=decision.fits,
         )
-        self.others = verdict.others
-        if not verdict.fits:
+        self.others = decision.others
+        if not decision.fits:
             raise Refusal(RefusalCode.BUDGET_EXHAUSTED, 'the budget is spent')
 
     async def ask_majority(self) -> list[list[TokenEntry]]:
@@ -144,20 +149,20 @@
         known.append(spent.entries)
         if self.permitted.done() or not self.group.links.can_decide:
             return
-        verdict = self.judged(known)
-        if self.has_headroom(verdict, len(known)):
+        decision = self.decision_on(known)
+        if self.has_headroom(decision, len(known)):
             self.early = True
-            self.others = verdict.others
+            self.others = decision.others
             self.permitted.set_result(None)
 
-    def judged(self, known: list[list[TokenEntry]]) -> Verdict:
+    def decision_on(self, known: list[list[TokenEntry]]) -> BudgetDecision:
         """Hold the turn against the budget by what keepers know."""
-        return judge(known, self.call.id, self.most, self.budget)
+        return decide_reservation(known, self.call.id, self.most, self.budget)
 
-    def has_headroom(self, verdict: Verdict, answers: int) -> bool:
+    def has_headroom(self, decision: BudgetDecision, answers: int) -> bool:
         """Tell whether the budget bears even turns that are not seen yet."""
-        heard = Heard(answers, len(self.group.links.members.by_name))
-        return fits_unseen(verdict, self.most, self.budget, heard)
+        answer_count = AnswerCount(answers, len(self.group.links.members.by_name))
+        return fits_with_hidden_turns(decision, self.most, self.budget, answer_count)
 
     @property
     def holds_events(self) -> bool:
--- a/test/program/test_budget_rounds.py
+++ b/test/program/test_budget_rounds.py
@@ -12,11 +12,16 @@
 
 import testtools
 
-from pollenwalk.program.ledger import Heard, Verdict, fits_unseen, judge
+from pollenwalk.program.ledger import (
+    AnswerCount,
+    BudgetDecision,
+    decide_reservation,
+    fits_with_hidden_turns,
+)
 from pollenwalk.program.turns import TokenEntry
 
 Step = tuple[int, int]
-Rule = Callable[[Verdict, int, int, Heard], bool]
+Rule = Callable[[BudgetDecision, int, int, AnswerCount], bool]
 ROUNDS = 2
 # Steps that the search tries from each order that it draws.
 CLIMB = 150
@@ -35,7 +40,7 @@
     keepers: int
     most: list[int]
     budget: int
-    rule: Rule = fits_unseen
+    rule: Rule = fits_with_hidden_turns
 
 
 class ModelTurn:
@@ -70,9 +75,9 @@
         game = self.game
         most = game.most[self.number]
         known = list(self.heard.values())
-        verdict = judge(known, str(self.number), most, game.budget)
-        heard = Heard(len(known), game.keepers)
-        if game.rule(verdict, most, game.budget, heard):
+        decision = decide_reservation(known, str(self.number), most, game.budget)
+        heard = AnswerCount(len(known), game.keepers)
+        if game.rule(decision, most, game.budget, heard):
             self.runs = True
         elif self.decided:
             self.earlier = known
@@ -84,7 +89,9 @@
             return
         known = [*self.earlier, *self.heard.values()]
         most = self.game.most[self.number]
-        self.runs = judge(known, str(self.number), most, self.game.budget).fits
+        self.runs = decide_reservation(
+            known, str(self.number), most, self.game.budget
+        ).fits
         self.over = not self.runs
 
 
@@ -139,14 +146,18 @@
         yield Game(dice.choice((2, 3, 3, 5, 8)), most, budget, rule)
 
 
-def four_turns_of_room(verdict: Verdict, most: int, budget: int, _: Heard) -> bool:
+def four_turns_of_room(
+    decision: BudgetDecision, most: int, budget: int, _: AnswerCount
+) -> bool:
     """Begin as the rule before this one allowed."""
-    return verdict.others + 5 * most <= budget
+    return decision.others + 5 * most <= budget
 
 
-def no_room(verdict: Verdict, _most: int, _budget: int, _heard: Heard) -> bool:
+def no_room(
+    decision: BudgetDecision, _most: int, _budget: int, _heard: AnswerCount
+) -> bool:
     """Begin whenever the turn itself fits."""
-    return verdict.fits
+    return decision.fits
 
 
 class BudgetRoundsTest(testtools.TestCase):
@@ -162,7 +173,7 @@
 
     def test_searched_orders_stay_within_the_bound(self) -> None:
         for seed in (1, 2, 3):
-            self.assertTrue(self.excess(seed, 25, fits_unseen) <= 0, seed)
+            self.assertTrue(self.excess(seed, 25, fits_with_hidden_turns) <= 0, seed)
 
     def test_four_turns_of_room_are_not_enough(self) -> None:
         """The rule before: the search finds orders that it lets through."""
@@ -178,14 +189,14 @@
             self.assertTrue(max(running(game, list(one)) for one in orders) <= 2)
 
     def test_a_lone_turn_needs_no_second_round(self) -> None:
-        alone = Verdict(0, 0, True)
-        for heard in (Heard(2, 3), Heard(5, 8), Heard(4, 8)):
-            self.assertTrue(fits_unseen(alone, 10, 10, heard), heard)
-        self.assertFalse(fits_unseen(alone, 10, 19, Heard(1, 3)))
-        self.assertTrue(fits_unseen(alone, 10, 20, Heard(1, 3)))
+        alone = BudgetDecision(0, 0, True)
+        for heard in (AnswerCount(2, 3), AnswerCount(5, 8), AnswerCount(4, 8)):
+            self.assertTrue(fits_with_hidden_turns(alone, 10, 10, heard), heard)
+        self.assertFalse(fits_with_hidden_turns(alone, 10, 19, AnswerCount(1, 3)))
+        self.assertTrue(fits_with_hidden_turns(alone, 10, 20, AnswerCount(1, 3)))
 
     def test_a_turn_beside_others_needs_a_majority(self) -> None:
-        beside = Verdict(10, 10, True)
-        self.assertFalse(fits_unseen(beside, 10, 1000, Heard(1, 3)))
-        self.assertFalse(fits_unseen(beside, 10, 29, Heard(2, 3)))
-        self.assertTrue(fits_unseen(beside, 10, 30, Heard(2, 3)))
+        beside = BudgetDecision(10, 10, True)
+        self.assertFalse(fits_with_hidden_turns(beside, 10, 1000, AnswerCount(1, 3)))
+        self.assertFalse(fits_with_hidden_turns(beside, 10, 29, AnswerCount(2, 3)))
+        self.assertTrue(fits_with_hidden_turns(beside, 10, 30, AnswerCount(2, 3)))
--- a/test/program/test_ledger.py
+++ b/test/program/test_ledger.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from pollenwalk.program.ledger import Ledger, judge
+from pollenwalk.program.ledger import Ledger, decide_reservation
 from pollenwalk.program.turn_index import TurnIndex, prompt_of
 from pollenwalk.program.turns import (
     ReserveTokens,
@@ -59,9 +59,9 @@
             [TokenEntry('t1', MOST, False)],
             [TokenEntry('t1', 4, True), TokenEntry('t2', MOST, False)],
         ]
-        self.assertEqual(4, judge(known, 't2', MOST, 14).others)
-        self.assertTrue(judge(known, 't2', MOST, 14).fits)
-        self.assertFalse(judge(known, 't2', MOST, 13).fits)
+        self.assertEqual(4, decide_reservation(known, 't2', MOST, 14).others)
+        self.assertTrue(decide_reservation(known, 't2', MOST, 14).fits)
+        self.assertFalse(decide_reservation(known, 't2', MOST, 13).fits)
 
     def test_two_rounds_never_exceed_the_budget(self) -> None:
         """Try every order in which three turns can reach two of three keepers.
@@ -99,7 +99,7 @@
                 [TokenEntry(turn, MOST, False) for turn in held[keeper]]
                 for keeper in chosen[number]
             ]
-            if judge(known, turns[number], MOST, budget).fits:
+            if decide_reservation(known, turns[number], MOST, budget).fits:
                 running.append(turns[number])
         self.assertTrue(len(running) * MOST <= budget, (chosen, order))
 
