--- a/pollenwalk/process/keeper.py
+++ b/pollenwalk/process/keeper.py
@@ -146,7 +146,7 @@
     def refresh_metrics(self) -> None:
         """Set the gauges."""
         self.metrics.turns.set({}, len(self.state.turns.records))
-        self.metrics.turn_bytes.set({}, self.state.turns.size)
+        self.metrics.turn_bytes.set({}, self.state.turns.size_bytes)
         self.metrics.accounts.set({}, len(self.state.ledger.accounts))
         self.metrics.complete.set({}, int(self.state.complete))
 
--- a/pollenwalk/process/keeper_state.py
+++ b/pollenwalk/process/keeper_state.py
@@ -78,7 +78,7 @@
                 message.program,
                 message.turn,
                 message.tokens,
-                message.kept_ms,
+                message.retention_ms,
             )
             self.ledger.settle(settled)
         elif isinstance(message, ReserveTokens):
@@ -105,7 +105,7 @@
         """Encode all that is known of programs' tokens."""
         for program, account in list(self.ledger.accounts.items()):
             for entry in list(account.entries.values()):
-                yield encode_datagram(as_record(program, entry, account.kept_ms))
+                yield encode_datagram(as_record(program, entry, account.retention_ms))
 
     def scarce_turns(self, alive: Collection[str], copies: int) -> Iterator[bytes]:
         """Encode the turns of which fewer copies are left than needed.
@@ -154,8 +154,8 @@
         self.ledger.expire()
 
 
-def as_record(program: str, entry: TokenEntry, kept_ms: float) -> Any:
+def as_record(program: str, entry: TokenEntry, retention_ms: float) -> Any:
     """Turn an entry of an account back into the record that made it."""
     if entry.settled:
-        return SettleTokens(program, entry.turn, entry.tokens, kept_ms)
-    return ReserveTokens(program, entry.turn, entry.tokens, kept_ms)
+        return SettleTokens(program, entry.turn, entry.tokens, retention_ms)
+    return ReserveTokens(program, entry.turn, entry.tokens, retention_ms)
--- a/pollenwalk/program/ledger.py
+++ b/pollenwalk/program/ledger.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from pollenwalk.process.clock import Clock
-from pollenwalk.program.turn_index import kept_ms
+from pollenwalk.program.turn_index import expiry_delay_ms
 from pollenwalk.program.turns import (
     ReserveTokens,
     SettleTokens,
@@ -24,8 +24,8 @@
     def __init__(self) -> None:
         """Start with nothing spent."""
         self.entries: dict[str, TokenEntry] = {}
-        self.used_ms = 0.0
-        self.kept_ms = 0.0
+        self.last_used_ms = 0.0
+        self.retention_ms = 0.0
 
 
 class Ledger:
@@ -36,11 +36,11 @@
         self.clock = clock
         self.accounts: dict[str, Account] = {}
 
-    def account(self, program: str, promised_ms: float) -> Account:
+    def account(self, program: str, retention_ms: float) -> Account:
         """Give a program's account, which counts as used."""
         account = self.accounts.setdefault(program, Account())
-        account.used_ms = self.clock.now_ms()
-        account.kept_ms = max(account.kept_ms, promised_ms)
+        account.last_used_ms = self.clock.now_ms()
+        account.retention_ms = max(account.retention_ms, retention_ms)
         return account
 
     def reserve(self, asked: ReserveTokens) -> list[TokenEntry]:
@@ -49,14 +49,14 @@
         Returns:
             All that is known of the program's turns, this one included.
         """
-        account = self.account(asked.program, asked.kept_ms)
+        account = self.account(asked.program, asked.retention_ms)
         entry = TokenEntry(asked.turn, asked.most, False)
         account.entries.setdefault(asked.turn, entry)
         return list(account.entries.values())
 
     def settle(self, asked: SettleTokens) -> None:
         """Count what a turn has shown."""
-        account = self.account(asked.program, asked.kept_ms)
+        account = self.account(asked.program, asked.retention_ms)
         account.entries[asked.turn] = TokenEntry(asked.turn, asked.tokens, True)
 
     def expire(self) -> None:
@@ -65,7 +65,7 @@
         over = [
             program
             for program, account in self.accounts.items()
-            if account.used_ms + kept_ms(account.kept_ms) < now_ms
+            if account.last_used_ms + expiry_delay_ms(account.retention_ms) < now_ms
         ]
         for program in over:
             self.accounts.pop(program)
--- a/pollenwalk/program/turn_index.py
+++ b/pollenwalk/program/turn_index.py
@@ -15,7 +15,7 @@
     """Records in the order of their last use.
 
     Attributes:
-        size: bytes of all inputs and outputs.
+        size_bytes: total size of all inputs and outputs.
     """
 
     def __init__(self, clock: Clock, max_bytes: int | None = None) -> None:
@@ -28,9 +28,9 @@
         """
         self.clock = clock
         self.max_bytes = max_bytes
-        self.size = 0
+        self.size_bytes = 0
         self.records: OrderedDict[str, TurnRecord] = OrderedDict()
-        self.used_ms: dict[str, float] = {}
+        self.last_used_ms: dict[str, float] = {}
 
     def put(self, record: TurnRecord) -> bool:
         """Add a record; it and its chain count as used.
@@ -41,7 +41,7 @@
         new = record.turn not in self.records
         if new:
             self.records[record.turn] = record
-            self.size += record.size
+            self.size_bytes += record.size_bytes
         self.chain(record.turn)
         self.evict()
         return new
@@ -54,7 +54,7 @@
         while missing in self.records:
             record = self.records[missing]
             found.append(record)
-            self.used_ms[missing] = now_ms
+            self.last_used_ms[missing] = now_ms
             self.records.move_to_end(missing)
             missing = record.previous
         found.reverse()
@@ -62,7 +62,7 @@
 
     def evict(self) -> None:
         """Drop the least recently used turns beyond the room."""
-        while self.max_bytes is not None and self.size > self.max_bytes:
+        while self.max_bytes is not None and self.size_bytes > self.max_bytes:
             self.drop(next(iter(self.records)))
 
     def expire(self) -> list[TurnRecord]:
@@ -71,7 +71,8 @@
         over = [
             record
             for record in self.records.values()
-            if self.used_ms[record.turn] + kept_ms(record.kept_ms) < now_ms
+            if self.last_used_ms[record.turn] + expiry_delay_ms(record.retention_ms)
+            < now_ms
         ]
         for record in over:
             self.drop(record.turn)
@@ -79,16 +80,16 @@
 
     def drop(self, turn: str) -> None:
         """Forget a turn."""
-        self.size -= self.records.pop(turn).size
-        self.used_ms.pop(turn)
+        self.size_bytes -= self.records.pop(turn).size_bytes
+        self.last_used_ms.pop(turn)
 
 
-def kept_ms(promised_ms: float) -> float:
+def expiry_delay_ms(retention_ms: float) -> float:
     """Give how long a record is really kept."""
-    return promised_ms * RETENTION_FACTOR + RETENTION_MARGIN_MS
+    return retention_ms * RETENTION_FACTOR + RETENTION_MARGIN_MS
 
 
-def prompt_of(chain: list[TurnRecord], given: bytes) -> bytes:
+def build_prompt(chain: list[TurnRecord], new_input: bytes) -> bytes:
     """Put a prompt together: all that came before, then the new input."""
-    parts = [part for record in chain for part in (record.given, record.made)]
-    return b''.join((*parts, given))
+    parts = [part for record in chain for part in (record.input, record.output)]
+    return b''.join((*parts, new_input))
--- a/pollenwalk/program/turns.py
+++ b/pollenwalk/program/turns.py
@@ -14,26 +14,26 @@
         turn: the id of its request.
         program: that it belongs to.
         previous: the turn that it continues; empty at the start of a chain.
-        given: its new input.
-        made: the data of its events, each followed by a line feed.
+        input: its new input.
+        output: the data of its events, each followed by a line feed.
         tokens: that were generated.
-        kept_ms: how long it is kept after its last use.
+        retention_ms: how long it is kept after its last use.
         replicas: the keepers that were asked to hold it.
     """
 
     turn: str
     program: str
     previous: str
-    given: bytes
-    made: bytes
+    input: bytes
+    output: bytes
     tokens: int
-    kept_ms: float
+    retention_ms: float
     replicas: list[str]
 
     @property
-    def size(self) -> int:
+    def size_bytes(self) -> int:
         """Give the bytes that it adds to a prompt."""
-        return len(self.given) + len(self.made)
+        return len(self.input) + len(self.output)
 
 
 class ReserveTokens(NamedTuple):
@@ -42,7 +42,7 @@
     program: str
     turn: str
     most: int
-    kept_ms: float
+    retention_ms: float
 
 
 class SettleTokens(NamedTuple):
@@ -51,7 +51,7 @@
     program: str
     turn: str
     tokens: int
-    kept_ms: float
+    retention_ms: float
 
 
 class Settlements(NamedTuple):
--- a/pollenwalk/request/program_turn.py
+++ b/pollenwalk/request/program_turn.py
@@ -9,7 +9,7 @@
 from pollenwalk.process.clock import MS_PER_SECOND
 from pollenwalk.process.gateway_metrics import GatewayMetrics
 from pollenwalk.process.keeper_group import KeeperGroup
-from pollenwalk.program.turn_index import prompt_of
+from pollenwalk.program.turn_index import build_prompt
 from pollenwalk.program.turns import SettleTokens, TurnRecord
 from pollenwalk.request.call_state import Call
 from pollenwalk.request.event_stream import Event
@@ -29,7 +29,7 @@
         self.group = group
         self.metrics = metrics
         self.call = call
-        self.made: list[bytes] = []
+        self.output: list[bytes] = []
         self.tokens = 0
         self.reservation: Reservation | None = None
 
@@ -65,7 +65,7 @@
         if not self.call.route.keeps_history or not request.traits.previous:
             return request.body
         chain = await self.group.chain(request.traits.previous)
-        return prompt_of(chain, request.body)
+        return build_prompt(chain, request.body)
 
     async def before_event(self, event: Event) -> None:
         """Show tokens only once they are counted.
@@ -77,7 +77,7 @@
             return
         if self.reservation is not None and self.reservation.holds_events:
             await self.require(self.reservation.record_late())
-        self.made.extend((event.payload, b'\n'))
+        self.output.extend((event.payload, b'\n'))
         self.tokens += self.call.tokens_per_event
 
     async def before_end(self) -> None:
@@ -105,10 +105,10 @@
             turn=traits.id,
             program=traits.program,
             previous=traits.previous,
-            given=self.call.request.body,
-            made=b''.join(self.made),
+            input=self.call.request.body,
+            output=b''.join(self.output),
             tokens=self.tokens,
-            kept_ms=self.call.route.retention_ms,
+            retention_ms=self.call.route.retention_ms,
             replicas=[],
         )
         begun_ms = self.group.clock.now_ms()
@@ -136,7 +136,7 @@
                 message.program,
                 message.turn,
                 self.tokens,
-                message.kept_ms,
+                message.retention_ms,
             ),
         )
 
--- a/test/program/test_ledger.py
+++ b/test/program/test_ledger.py
@@ -5,7 +5,7 @@
 import testtools
 
 from pollenwalk.program.ledger import Ledger, decide_reservation
-from pollenwalk.program.turn_index import TurnIndex, prompt_of
+from pollenwalk.program.turn_index import TurnIndex, build_prompt
 from pollenwalk.program.turns import (
     ReserveTokens,
     SettleTokens,
@@ -125,7 +125,7 @@
         self.assertEqual(['a', 'b'], [one.turn for one in index.chain('b').turns])
         chain = index.chain('d')
         self.assertEqual(['a', 'c', 'd'], [one.turn for one in chain.turns])
-        self.assertEqual(b'aa!\ncc!\ndd!\nnew', prompt_of(chain.turns, b'new'))
+        self.assertEqual(b'aa!\ncc!\ndd!\nnew', build_prompt(chain.turns, b'new'))
 
     @virtual
     async def test_a_gap_is_named(self) -> None:
@@ -153,4 +153,4 @@
         for name in 'abcd':
             index.put(self.turn(name))
         self.assertEqual(['c', 'd'], list(index.records))
-        self.assertTrue(index.size <= 10)
+        self.assertTrue(index.size_bytes <= 10)
