--- a/pollenwalk/program/ledger.py
+++ b/pollenwalk/program/ledger.py
@@ -50,7 +50,7 @@
             All that is known of the program's turns, this one included.
         """
         account = self.account(asked.program, asked.retention_ms)
-        entry = TokenEntry(asked.turn, asked.most, False)
+        entry = TokenEntry(asked.turn, asked.max_tokens, False)
         account.entries.setdefault(asked.turn, entry)
         return list(account.entries.values())
 
@@ -93,7 +93,7 @@
 def decide_reservation(
     known: Iterable[Iterable[TokenEntry]],
     turn: str,
-    most: int,
+    max_tokens: int,
     budget: int,
 ) -> BudgetDecision:
     """Unite what keepers know and hold a turn against the budget.
@@ -101,7 +101,7 @@
     Args:
         known: the entries that each keeper gave.
         turn: the one that is to run.
-        most: the tokens that it may generate.
+        max_tokens: the tokens that it may generate.
         budget: of the whole program.
     """
     united: dict[str, TokenEntry] = {}
@@ -111,7 +111,7 @@
     united.pop(turn, None)
     others = sum(other.tokens for other in united.values())
     unsettled = sum(other.tokens for other in united.values() if not other.settled)
-    return BudgetDecision(others, unsettled, others + most <= budget)
+    return BudgetDecision(others, unsettled, others + max_tokens <= budget)
 
 
 class AnswerCount(NamedTuple):
@@ -143,7 +143,7 @@
 
 
 def fits_with_hidden_turns(
-    decision: BudgetDecision, most: int, budget: int, answer_count: AnswerCount
+    decision: BudgetDecision, max_tokens: int, budget: int, answer_count: AnswerCount
 ) -> bool:
     """Tell whether a turn may begin, whatever it can't have seen yet.
 
@@ -156,7 +156,7 @@
 
     Args:
         decision: what the answers received so far add up to.
-        most: the tokens that the turn itself may generate.
+        max_tokens: the tokens that the turn itself may generate.
         budget: of the whole program.
         answer_count: how many keepers have answered.
     """
@@ -166,5 +166,5 @@
         return False
     else:
         # One of them may go beyond the budget.
-        unseen = max(answer_count.disjoint_turns - 2, 0) * most
-    return decision.others + most + unseen <= budget
+        unseen = max(answer_count.disjoint_turns - 2, 0) * max_tokens
+    return decision.others + max_tokens + unseen <= budget
--- a/pollenwalk/program/turns.py
+++ b/pollenwalk/program/turns.py
@@ -41,7 +41,7 @@
 
     program: str
     turn: str
-    most: int
+    max_tokens: int
     retention_ms: float
 
 
--- a/pollenwalk/request/reservation.py
+++ b/pollenwalk/request/reservation.py
@@ -43,12 +43,12 @@
         traits = call.request.traits
         self.early = False
         self.others = 0
-        self.most = traits.most_tokens
+        self.max_tokens = traits.most_tokens
         self.budget = traits.budget or 0
         self.message = ReserveTokens(
             traits.program,
             traits.id,
-            self.most,
+            self.max_tokens,
             call.route.retention_ms,
         )
         loop = asyncio.get_running_loop()
@@ -109,7 +109,7 @@
         begun_ms = self.group.clock.now_ms()
         known = await self.ask_majority()
         decision = self.decision_on(known)
-        spent = decision.settled_tokens + self.most > self.budget
+        spent = decision.settled_tokens + self.max_tokens > self.budget
         if not (spent or self.has_headroom(decision, len(known))):
             # Whoever reserved at the same time is seen by the second round.
             known.extend(await self.ask_majority())
@@ -122,7 +122,7 @@
             program=self.message.program,
             budget=self.budget,
             others=decision.others,
-            most=self.most,
+            most=self.max_tokens,
             fits=decision.fits,
         )
         self.others = decision.others
@@ -157,12 +157,14 @@
 
     def decision_on(self, known: list[list[TokenEntry]]) -> BudgetDecision:
         """Hold the turn against the budget by what keepers know."""
-        return decide_reservation(known, self.call.id, self.most, self.budget)
+        return decide_reservation(known, self.call.id, self.max_tokens, self.budget)
 
     def has_headroom(self, decision: BudgetDecision, answers: int) -> bool:
         """Tell whether the budget bears even turns that are not seen yet."""
         answer_count = AnswerCount(answers, len(self.group.links.members.by_name))
-        return fits_with_hidden_turns(decision, self.most, self.budget, answer_count)
+        return fits_with_hidden_turns(
+            decision, self.max_tokens, self.budget, answer_count
+        )
 
     @property
     def holds_events(self) -> bool:
--- a/test/program/test_budget_rounds.py
+++ b/test/program/test_budget_rounds.py
@@ -32,13 +32,13 @@
 
     Attributes:
         keepers: how many there are.
-        most: tokens of each turn.
+        max_tokens: of each turn.
         budget: of the program.
         rule: tells whether a turn may begin in its first round.
     """
 
     keepers: int
-    most: list[int]
+    max_tokens: list[int]
     budget: int
     rule: Rule = fits_with_hidden_turns
 
@@ -73,11 +73,11 @@
     def judge_first_round(self) -> None:
         """Begin with room to spare, or ask again."""
         game = self.game
-        most = game.most[self.number]
+        max_tokens = game.max_tokens[self.number]
         known = list(self.heard.values())
-        decision = decide_reservation(known, str(self.number), most, game.budget)
+        decision = decide_reservation(known, str(self.number), max_tokens, game.budget)
         heard = AnswerCount(len(known), game.keepers)
-        if game.rule(decision, most, game.budget, heard):
+        if game.rule(decision, max_tokens, game.budget, heard):
             self.runs = True
         elif self.decided:
             self.earlier = known
@@ -88,28 +88,28 @@
         if not self.decided:
             return
         known = [*self.earlier, *self.heard.values()]
-        most = self.game.most[self.number]
+        max_tokens = self.game.max_tokens[self.number]
         self.runs = decide_reservation(
-            known, str(self.number), most, self.game.budget
+            known, str(self.number), max_tokens, self.game.budget
         ).fits
         self.over = not self.runs
 
 
 def running(game: Game, order: list[Step]) -> int:
     """Play an order of answers; give the tokens of the turns that run."""
-    turns = [ModelTurn(game, number) for number in range(len(game.most))]
+    turns = [ModelTurn(game, number) for number in range(len(game.max_tokens))]
     held: list[list[TokenEntry]] = [[] for _ in range(game.keepers)]
     for number, keeper in order:
-        entry = TokenEntry(str(number), game.most[number], False)
+        entry = TokenEntry(str(number), game.max_tokens[number], False)
         if entry not in held[keeper]:
             held[keeper].append(entry)
         turns[number].hear(keeper, list(held[keeper]))
-    return sum(game.most[turn.number] for turn in turns if turn.runs)
+    return sum(game.max_tokens[turn.number] for turn in turns if turn.runs)
 
 
 def steps(game: Game) -> list[Step]:
     """Give every answer of two rounds."""
-    pairs = itertools.product(range(len(game.most)), range(game.keepers))
+    pairs = itertools.product(range(len(game.max_tokens)), range(game.keepers))
     return list(pairs) * ROUNDS
 
 
@@ -126,35 +126,35 @@
     """Search for an order in which much runs; give the tokens."""
     order = steps(game)
     dice.shuffle(order)
-    most = running(game, order)
+    highest = running(game, order)
     for _ in range(CLIMB):
         other = next(neighbours(order, dice))
         found = running(game, other)
-        if found >= most:
-            most = found
+        if found >= highest:
+            highest = found
             order = other
-    return most
+    return highest
 
 
 def games(dice: random.Random, count: int, rule: Rule) -> Iterator[Game]:
     """Draw sizes, turns and budgets."""
     for _ in range(count):
-        most = [dice.randint(1, 3) for _ in range(dice.randint(2, 11))]
+        max_tokens = [dice.randint(1, 3) for _ in range(dice.randint(2, 11))]
         if dice.random() < 0.5:
-            most = [1 for _ in most]
-        budget = dice.randint(1, sum(most))
-        yield Game(dice.choice((2, 3, 3, 5, 8)), most, budget, rule)
+            max_tokens = [1 for _ in max_tokens]
+        budget = dice.randint(1, sum(max_tokens))
+        yield Game(dice.choice((2, 3, 3, 5, 8)), max_tokens, budget, rule)
 
 
 def four_turns_of_room(
-    decision: BudgetDecision, most: int, budget: int, _: AnswerCount
+    decision: BudgetDecision, max_tokens: int, budget: int, _: AnswerCount
 ) -> bool:
     """Begin as the rule before this one allowed."""
-    return decision.others + 5 * most <= budget
+    return decision.others + 5 * max_tokens <= budget
 
 
 def no_room(
-    decision: BudgetDecision, _most: int, _budget: int, _heard: AnswerCount
+    decision: BudgetDecision, _max_tokens: int, _budget: int, _heard: AnswerCount
 ) -> bool:
     """Begin whenever the turn itself fits."""
     return decision.fits
@@ -167,7 +167,7 @@
         """Give by how much the worst order found goes beyond what is allowed."""
         dice = random.Random(seed)
         return max(
-            worst(game, dice) - game.budget - max(game.most)
+            worst(game, dice) - game.budget - max(game.max_tokens)
             for game in games(dice, count, rule)
         )
 
--- a/test/program/test_ledger.py
+++ b/test/program/test_ledger.py
@@ -15,7 +15,7 @@
 from test.helper import make_clock, virtual
 
 KEEPERS = 3
-MOST = 10
+MAX_TOKENS = 10
 
 
 class LedgerTest(testtools.TestCase):
@@ -24,25 +24,25 @@
     @virtual
     async def test_reserved_counts_at_its_most_until_settled(self) -> None:
         ledger = Ledger(make_clock())
-        ledger.reserve(ReserveTokens('p', 't1', MOST, 0))
-        known = ledger.reserve(ReserveTokens('p', 't2', MOST, 0))
-        self.assertEqual([MOST, MOST], [one.tokens for one in known])
+        ledger.reserve(ReserveTokens('p', 't1', MAX_TOKENS, 0))
+        known = ledger.reserve(ReserveTokens('p', 't2', MAX_TOKENS, 0))
+        self.assertEqual([MAX_TOKENS, MAX_TOKENS], [one.tokens for one in known])
         ledger.settle(SettleTokens('p', 't1', 4, 0))
-        known = ledger.reserve(ReserveTokens('p', 't2', MOST, 0))
-        self.assertEqual([4, MOST], [one.tokens for one in known])
+        known = ledger.reserve(ReserveTokens('p', 't2', MAX_TOKENS, 0))
+        self.assertEqual([4, MAX_TOKENS], [one.tokens for one in known])
 
     @virtual
     async def test_a_late_reservation_undoes_nothing(self) -> None:
         ledger = Ledger(make_clock())
         ledger.settle(SettleTokens('p', 't1', 4, 0))
-        known = ledger.reserve(ReserveTokens('p', 't1', MOST, 0))
+        known = ledger.reserve(ReserveTokens('p', 't1', MAX_TOKENS, 0))
         self.assertEqual([TokenEntry('t1', 4, True)], known)
 
     @virtual
     async def test_idle_accounts_go(self) -> None:
         clock = make_clock()
         ledger = Ledger(clock)
-        ledger.reserve(ReserveTokens('p', 't1', MOST, 1000))
+        ledger.reserve(ReserveTokens('p', 't1', MAX_TOKENS, 1000))
         await clock.sleep_ms(10_000)
         ledger.expire()
         self.assertIn('p', ledger.accounts)
@@ -56,12 +56,12 @@
 
     def test_settled_goes_before_reserved(self) -> None:
         known = [
-            [TokenEntry('t1', MOST, False)],
-            [TokenEntry('t1', 4, True), TokenEntry('t2', MOST, False)],
+            [TokenEntry('t1', MAX_TOKENS, False)],
+            [TokenEntry('t1', 4, True), TokenEntry('t2', MAX_TOKENS, False)],
         ]
-        self.assertEqual(4, decide_reservation(known, 't2', MOST, 14).others)
-        self.assertTrue(decide_reservation(known, 't2', MOST, 14).fits)
-        self.assertFalse(decide_reservation(known, 't2', MOST, 13).fits)
+        self.assertEqual(4, decide_reservation(known, 't2', MAX_TOKENS, 14).others)
+        self.assertTrue(decide_reservation(known, 't2', MAX_TOKENS, 14).fits)
+        self.assertFalse(decide_reservation(known, 't2', MAX_TOKENS, 13).fits)
 
     def test_two_rounds_never_exceed_the_budget(self) -> None:
         """Try every order in which three turns can reach two of three keepers.
@@ -82,7 +82,7 @@
         order: tuple[int, ...],
     ) -> None:
         """Play one order; step 2n writes turn n, step 2n + 1 reads for it."""
-        budget = 2 * MOST
+        budget = 2 * MAX_TOKENS
         held: list[set[str]] = [set() for _ in range(KEEPERS)]
         written: set[int] = set()
         running = []
@@ -96,12 +96,12 @@
                     held[keeper].add(turns[number])
                 continue
             known = [
-                [TokenEntry(turn, MOST, False) for turn in held[keeper]]
+                [TokenEntry(turn, MAX_TOKENS, False) for turn in held[keeper]]
                 for keeper in chosen[number]
             ]
-            if decide_reservation(known, turns[number], MOST, budget).fits:
+            if decide_reservation(known, turns[number], MAX_TOKENS, budget).fits:
                 running.append(turns[number])
-        self.assertTrue(len(running) * MOST <= budget, (chosen, order))
+        self.assertTrue(len(running) * MAX_TOKENS <= budget, (chosen, order))
 
 
 class TurnIndexTest(testtools.TestCase):
