--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -11,7 +11,7 @@
     RefusalCode,
 )
 from pollenwalk.process.home_work import HomeWork
-from pollenwalk.program.history import plain_entries
+from pollenwalk.program.history import service_history_items
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.program.program import Program
 from pollenwalk.program.records import Finished, Intended, Withdrawn
@@ -115,7 +115,7 @@
             return
         entries = []
         if answer is not None:
-            entries = plain_entries(intent.operation, intent.argument, answer)
+            entries = service_history_items(intent.operation, intent.argument, answer)
         record = Finished(
             intent.program,
             intent.key,
--- a/pollenwalk/process/sidecar_histories.py
+++ b/pollenwalk/process/sidecar_histories.py
@@ -2,7 +2,7 @@
 
 from pollenwalk.connection.wire import Answer, Dispatch, HistoryItem
 from pollenwalk.errors import Refusal, RefusalCode
-from pollenwalk.program.history import ROOT, History, chat_entries
+from pollenwalk.program.history import EMPTY_DIGEST, History, chat_history_items
 
 MAX_PROGRAMS = 4096
 
@@ -24,7 +24,7 @@
             Refusal: the joined history is not the one the home has.
         """
         history = self.histories.pop(message.program, None)
-        if message.base == ROOT:
+        if message.base == EMPTY_DIGEST:
             history = History()
         if history is None or message.base not in history.digests:
             return None
@@ -52,7 +52,7 @@
         """Add what an ended call adds, as the home will."""
         history = self.histories.get(message.program)
         if history is not None and history.digest == message.digest:
-            history.extend(chat_entries(message.argument, answer))
+            history.extend(chat_history_items(message.argument, answer))
 
     def drop(self, program: str) -> None:
         """Forget a program."""
--- a/pollenwalk/program/history.py
+++ b/pollenwalk/program/history.py
@@ -12,7 +12,7 @@
 from pollenwalk.connection.wire import Answer, HistoryItem
 
 DIGEST_BYTES = 16
-ROOT = ''
+EMPTY_DIGEST = ''
 
 
 def extend_digest(digest: str, entry: HistoryItem) -> str:
@@ -24,7 +24,7 @@
     return hasher.hexdigest()
 
 
-def digest_of(value: Any) -> str:
+def digest_json(value: Any) -> str:
     """Digest a JSON value, whatever the order of its keys."""
     text = json.dumps(value, sort_keys=True, separators=(',', ':'))
     return hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         """Start empty."""
         self.entries: list[HistoryItem] = []
-        self.digests: list[str] = [ROOT]
+        self.digests: list[str] = [EMPTY_DIGEST]
 
     @property
     def digest(self) -> str:
@@ -58,12 +58,12 @@
         return self.entries[position:]
 
 
-def count_tokens(text: str) -> int:
+def estimate_tokens(text: str) -> int:
     """Estimate the tokens of a text by its words."""
     return len(text.split())
 
 
-def chat_entries(argument: dict[str, Any], answer: Answer) -> list[HistoryItem]:
+def chat_history_items(argument: dict[str, Any], answer: Answer) -> list[HistoryItem]:
     """Give the entries that one model call adds."""
     return [
         HistoryItem('user', str(argument.get('message', ''))),
@@ -71,7 +71,7 @@
     ]
 
 
-def plain_entries(
+def service_history_items(
     operation: str,
     argument: dict[str, Any],
     answer: Answer,
--- a/pollenwalk/program/live.py
+++ b/pollenwalk/program/live.py
@@ -5,7 +5,7 @@
 from pollenwalk.connection.wire import CallProgram
 from pollenwalk.errors import Outcome, Refusal, RefusalCode
 from pollenwalk.process.clock import Clock
-from pollenwalk.program.history import count_tokens
+from pollenwalk.program.history import estimate_tokens
 from pollenwalk.program.program import Program
 from pollenwalk.request.call import LiveCall
 
@@ -44,7 +44,7 @@
         """Count the history's tokens, each entry once."""
         entries = self.program.history.entries
         fresh = entries[self.counted :]
-        self.tokens += sum(count_tokens(entry.content) for entry in fresh)
+        self.tokens += sum(estimate_tokens(entry.content) for entry in fresh)
         self.counted = len(entries)
         return self.tokens
 
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -6,7 +6,7 @@
 from pollenwalk.connection.wire import Answer, Dispatch
 from pollenwalk.errors import Fenced, Refusal, RefusalCode
 from pollenwalk.policy.placement import HostView, Need
-from pollenwalk.program.history import ROOT, count_tokens
+from pollenwalk.program.history import EMPTY_DIGEST, estimate_tokens
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.request.call import LiveCall
 from pollenwalk.request.dispatch import dispatch
@@ -52,7 +52,7 @@
     @property
     def message_tokens(self) -> int:
         """Count the tokens that the call adds to the prompt."""
-        return count_tokens(str(self.request.argument.get('message', '')))
+        return estimate_tokens(str(self.request.argument.get('message', '')))
 
     async def pick(self) -> HostView:
         """Choose a host, waiting a little when there is none.
@@ -126,10 +126,10 @@
         """Build the message, with the part of the history that is missing."""
         history = self.program.history
         model = self.spec.kind == 'model'
-        base = self.live.held.get(host.sidecar, ROOT)
+        base = self.live.held.get(host.sidecar, EMPTY_DIGEST)
         delta = history.since(base) if model else []
         if delta is None:
-            base, delta = ROOT, history.entries
+            base, delta = EMPTY_DIGEST, history.entries
         return Dispatch(
             self.call.id,
             self.program.id,
@@ -139,7 +139,7 @@
             self.request.argument,
             base,
             list(delta),
-            history.digest if model else ROOT,
+            history.digest if model else EMPTY_DIGEST,
             max_tokens,
             self.priority,
             self.parts.clock.now_ms() - self.live.begun_ms,
--- a/pollenwalk/request/call.py
+++ b/pollenwalk/request/call.py
@@ -5,7 +5,7 @@
 from pollenwalk.connection.wire import CallProgram
 from pollenwalk.errors import Refusal, RefusalCode
 from pollenwalk.process.clock import Clock
-from pollenwalk.program.history import digest_of
+from pollenwalk.program.history import digest_json
 from pollenwalk.program.program import FinishedCall
 from pollenwalk.request.stream import TokenStream
 
@@ -15,7 +15,7 @@
 
 def request_digest(request: CallProgram) -> str:
     """Digest what a call asks for; its place in the order is not part."""
-    return digest_of(
+    return digest_json(
         [
             request.upstream,
             request.operation,
--- a/pollenwalk/request/dispatch.py
+++ b/pollenwalk/request/dispatch.py
@@ -19,7 +19,7 @@
     RefusalCode,
 )
 from pollenwalk.process.clock import Clock
-from pollenwalk.program.history import ROOT
+from pollenwalk.program.history import EMPTY_DIGEST
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.request.call import LiveCall
 
@@ -48,7 +48,7 @@
     """
     answer = await collect(connection.stream(message), call)
     if isinstance(answer, NeedHistory):
-        whole = message._replace(base=ROOT, delta=live.program.history.entries)
+        whole = message._replace(base=EMPTY_DIGEST, delta=live.program.history.entries)
         answer = await collect(connection.stream(whole), call)
     if not isinstance(answer, Answer):
         raise ConnectionLost('the sidecar ended without an answer')
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -17,8 +17,8 @@
 from pollenwalk.policy.placement import HostView
 from pollenwalk.process.recorder import store_unavailable
 from pollenwalk.program.history import (
-    chat_entries,
-    plain_entries,
+    chat_history_items,
+    service_history_items,
 )
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.program.program import FinishedCall
@@ -310,8 +310,10 @@
         if answer is None:
             return []
         if self.is_model:
-            return chat_entries(self.request.argument, answer)
-        return plain_entries(self.request.operation, self.request.argument, answer)
+            return chat_history_items(self.request.argument, answer)
+        return service_history_items(
+            self.request.operation, self.request.argument, answer
+        )
 
 
 def is_not_run(ending: Ending) -> bool:
--- a/standin/engine.py
+++ b/standin/engine.py
@@ -21,7 +21,7 @@
 from pollenwalk.errors import ConnectionLost, Outcome, Refusal, RefusalCode
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.tasks import TaskSet
-from pollenwalk.program.history import count_tokens
+from pollenwalk.program.history import estimate_tokens
 from pollenwalk.request.stream import TokenStream
 from standin.ledger import Ledger
 
@@ -53,7 +53,7 @@
 
 def prompt_tokens(messages: list[HistoryItem]) -> int:
     """Count a prompt's tokens."""
-    return sum(count_tokens(message.content) for message in messages)
+    return sum(estimate_tokens(message.content) for message in messages)
 
 
 class Generation:
