--- a/pollenwalk/process/beginnings.py
+++ b/pollenwalk/process/beginnings.py
@@ -154,7 +154,7 @@
             request.key,
             request.parent or '',
             limit,
-            Budget(limit).ahead(spec.reserve_tokens),
+            Budget(limit).cap_reserve_ahead(spec.reserve_tokens),
             min(request.deadline_ms or spec.deadline_ms, spec.deadline_ms),
         )
         beginning = Beginning(program_id, self.record(record))
--- a/pollenwalk/program/budget.py
+++ b/pollenwalk/program/budget.py
@@ -7,7 +7,7 @@
 
 from typing import NamedTuple
 
-AHEAD_SHARE = 10
+RESERVE_AHEAD_DIVISOR = 10
 
 
 class Budget(NamedTuple):
@@ -17,27 +17,27 @@
         limit: what the program may spend in all.
         spent: what finished calls and ended children have used.
         reserved: set aside for the next call.
-        carved: handed to children that still run.
+        child_allocations: handed to children that still run.
     """
 
     limit: int
     spent: int = 0
     reserved: int = 0
-    carved: int = 0
+    child_allocations: int = 0
 
     @property
     def free(self) -> int:
         """Give what is neither spent nor promised."""
-        return self.limit - self.spent - self.reserved - self.carved
+        return self.limit - self.spent - self.reserved - self.child_allocations
 
     @property
     def left(self) -> int:
         """Give what a caller may still count on."""
         return self.free + self.reserved
 
-    def ahead(self, amount: int) -> int:
+    def cap_reserve_ahead(self, amount: int) -> int:
         """Bound what is reserved ahead, since a takeover forfeits it."""
-        return min(amount, self.limit // AHEAD_SHARE)
+        return min(amount, self.limit // RESERVE_AHEAD_DIVISOR)
 
     def reserve(self, amount: int) -> 'Budget':
         """Set the reservation to `amount`, as far as it goes."""
@@ -48,14 +48,14 @@
         settled = self._replace(spent=self.spent + spent, reserved=0)
         return settled.reserve(next_reserve)
 
-    def carve(self, amount: int) -> 'Budget':
+    def allocate_to_child(self, amount: int) -> 'Budget':
         """Hand an amount to a child."""
-        return self._replace(carved=self.carved + amount)
+        return self._replace(child_allocations=self.child_allocations + amount)
 
-    def give_back(self, amount: int, spent: int) -> 'Budget':
+    def reclaim_from_child(self, amount: int, spent: int) -> 'Budget':
         """Take a child's share back, less what it spent."""
         return self._replace(
-            carved=self.carved - amount,
+            child_allocations=self.child_allocations - amount,
             spent=self.spent + spent,
         )
 
--- a/pollenwalk/program/program.py
+++ b/pollenwalk/program/program.py
@@ -169,7 +169,7 @@
         """Add a program and carve its budget from its parent's."""
         parent = self.programs.get(record.parent)
         if parent is not None:
-            parent.budget = parent.budget.carve(record.limit)
+            parent.budget = parent.budget.allocate_to_child(record.limit)
         self.add(Program(record.program, record))
 
     def add(self, program: Program) -> None:
@@ -193,9 +193,9 @@
         program.budget = program.budget.settle(0, 0)
         parent = self.programs.get(program.parent)
         if parent is not None:
-            parent.budget = parent.budget.give_back(
+            parent.budget = parent.budget.reclaim_from_child(
                 program.budget.limit,
-                program.budget.spent + program.budget.carved,
+                program.budget.spent + program.budget.child_allocations,
             )
 
     def drop(self, program: Program) -> None:
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -302,7 +302,7 @@
         """Give what to set aside for the program's next call."""
         budget = self.program.budget
         if self.is_model:
-            return budget.ahead(self.declaration.reserve_tokens)
+            return budget.cap_reserve_ahead(self.declaration.reserve_tokens)
         return budget.reserved
 
     def entries(self, answer: Answer | None) -> list[HistoryItem]:
