--- a/pollenwalk/process/home.py
+++ b/pollenwalk/process/home.py
@@ -163,7 +163,7 @@
     async def answer(self, request: CallProgram) -> AsyncIterator[Tokens | Answer]:
         """Find or start a call and follow it to its end."""
         live = self.find(request.program)
-        live.used_ms = self.parts.clock.now_ms()
+        live.last_used_ms = self.parts.clock.now_ms()
         call = self.attach(live, request)
         if isinstance(call, FinishedCall):
             finished = call
@@ -243,7 +243,7 @@
     async def run(self, live: LiveProgram, call: LiveCall) -> None:
         """Run one call from its place in the order to its end."""
         try:
-            await live.take_turn(call)
+            await live.wait_for_predecessors(call)
             call.finish(await Execution(self.parts, live, call).run())
         except PollenwalkError as error:
             call.refuse(error)
@@ -252,8 +252,8 @@
                 call.refuse(cancelled(call) if live.ending else sealed())
             live.calls.pop(call.request.key, None)
             live.tasks.pop(call.request.key, None)
-            live.used_ms = self.parts.clock.now_ms()
-            live.notify()
+            live.last_used_ms = self.parts.clock.now_ms()
+            live.notify_waiting_calls()
 
     def abandon(self) -> None:
         """Let all calls go on at the successor: nothing counts here now."""
@@ -272,7 +272,7 @@
         if live.program.ended:
             return live.program
         live.ending = True
-        live.notify()
+        live.notify_waiting_calls()
         for child in self.children(program_id):
             await self.end(child.id)
         cut_short = any(call.running for call in live.calls.values())
@@ -298,7 +298,7 @@
             if key not in live.program.intents:
                 task.cancel()
         while live.calls:
-            await live.wait_change(STOP_CHECK_MS)
+            await live.wait_for_change(STOP_CHECK_MS)
 
 
 def replayed_tokens(finished: FinishedCall, offset: int) -> Iterator[Tokens]:
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -33,7 +33,7 @@
         """Find out what became of the intents of adopted programs."""
         for program in programs:
             live = self.home.find(program.id)
-            live.doubtful = program.next_sequence
+            live.doubtful_sequence = program.next_sequence
             for intent in list(program.intents.values()):
                 call = LiveCall(request_of(intent), self.parts.clock)
                 live.calls[intent.key] = call
@@ -73,7 +73,7 @@
         finally:
             live.calls.pop(intent.key, None)
             live.tasks.pop(intent.key, None)
-            live.notify()
+            live.notify_waiting_calls()
 
     async def withdraw(
         self,
--- a/pollenwalk/process/upkeep.py
+++ b/pollenwalk/process/upkeep.py
@@ -98,7 +98,7 @@
         spec = self.parts.config.program(program.declaration) or ProgramSpec([])
         try:
             if not program.ended:
-                idle = now_ms - live.used_ms > spec.idle_ms
+                idle = now_ms - live.last_used_ms > spec.idle_ms
                 if not live.calls and (idle or live.is_overdue()):
                     await self.home.end(program.id)
                 return
--- a/pollenwalk/program/live.py
+++ b/pollenwalk/program/live.py
@@ -11,7 +11,7 @@
 
 GAP_WAIT_MS = 5000
 GAP_RETRY_MS = 1000
-MAX_AHEAD = 64
+MAX_SEQUENCES_AHEAD = 64
 
 
 class LiveProgram:
@@ -28,25 +28,25 @@
         self.lock = asyncio.Lock()
         self.calls: dict[str, LiveCall] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
-        self.held: dict[str, str] = {}
-        self.cached: dict[str, int] = {}
-        self.counted = 0
-        self.tokens = 0
-        self.maybe_ran: dict[str, None] = {}
-        self.doubtful = 0
+        self.sidecar_digests: dict[str, str] = {}
+        self.cached_tokens: dict[str, int] = {}
+        self.counted_items = 0
+        self.counted_tokens = 0
+        self.maybe_ran_keys: dict[str, None] = {}
+        self.doubtful_sequence = 0
         self.ending = False
         self.begun_ms = clock.now_ms()
-        self.used_ms = self.begun_ms
+        self.last_used_ms = self.begun_ms
         self.changed = asyncio.Event()
 
     @property
     def history_tokens(self) -> int:
         """Count the history's tokens, each entry once."""
         entries = self.program.history.entries
-        fresh = entries[self.counted :]
-        self.tokens += sum(estimate_tokens(entry.content) for entry in fresh)
-        self.counted = len(entries)
-        return self.tokens
+        fresh = entries[self.counted_items :]
+        self.counted_tokens += sum(estimate_tokens(entry.content) for entry in fresh)
+        self.counted_items = len(entries)
+        return self.counted_tokens
 
     def may_have_run(self, request: CallProgram) -> bool:
         """Tell whether an earlier try of a repeatable call may have run.
@@ -54,9 +54,12 @@
         A dead home records no try of such a call, so the first call after a
         takeover is in doubt.
         """
-        return request.key in self.maybe_ran or request.sequence == self.doubtful
+        return (
+            request.key in self.maybe_ran_keys
+            or request.sequence == self.doubtful_sequence
+        )
 
-    def notify(self) -> None:
+    def notify_waiting_calls(self) -> None:
         """Wake the calls that wait for their turn."""
         self.changed.set()
         self.changed = asyncio.Event()
@@ -72,25 +75,25 @@
             raise Refusal(RefusalCode.PROGRAM_ENDED, 'the program has ended')
         if self.is_overdue():
             raise Refusal(RefusalCode.DEADLINE, "the program's time is up")
-        if request.sequence < program.next_sequence or self.waits(request):
+        if request.sequence < program.next_sequence or self.is_taken(request):
             raise Refusal(
                 RefusalCode.SEQUENCE_TAKEN,
                 f'another call has sequence {request.sequence}',
             )
-        if request.sequence > program.next_sequence + MAX_AHEAD:
-            raise self.gap(request)
+        if request.sequence > program.next_sequence + MAX_SEQUENCES_AHEAD:
+            raise self.gap_refusal(request)
 
     def is_overdue(self) -> bool:
         """Tell whether the program's time is up; a takeover starts it anew."""
         return self.clock.now_ms() - self.begun_ms > self.program.deadline_ms
 
-    def waits(self, request: CallProgram) -> bool:
+    def is_taken(self, request: CallProgram) -> bool:
         """Tell whether another call already waits at this place."""
         return any(
             call.request.sequence == request.sequence for call in self.calls.values()
         )
 
-    def gap(self, request: CallProgram) -> Refusal:
+    def gap_refusal(self, request: CallProgram) -> Refusal:
         """Describe a call whose forerunner has not come."""
         lost = self.program.uncertain
         return Refusal(
@@ -101,7 +104,7 @@
             GAP_RETRY_MS,
         )
 
-    async def take_turn(self, call: LiveCall) -> None:
+    async def wait_for_predecessors(self, call: LiveCall) -> None:
         """Wait until all earlier calls have ended.
 
         Raises:
@@ -110,12 +113,12 @@
         gap_since_ms = self.clock.now_ms()
         while self.program.next_sequence != call.request.sequence:
             self.check_waiting(call)
-            if self.has_forerunner(call):
+            if self.has_predecessor(call):
                 gap_since_ms = self.clock.now_ms()
-            patience_ms = gap_since_ms + GAP_WAIT_MS - self.clock.now_ms()
-            if patience_ms <= 0:
-                raise self.gap(call.request)
-            await self.wait_change(min(patience_ms, call.left_ms()))
+            remaining_ms = gap_since_ms + GAP_WAIT_MS - self.clock.now_ms()
+            if remaining_ms <= 0:
+                raise self.gap_refusal(call.request)
+            await self.wait_for_change(min(remaining_ms, call.left_ms()))
         self.check_waiting(call)
 
     def check_waiting(self, call: LiveCall) -> None:
@@ -125,7 +128,7 @@
         if call.left_ms() <= 0:
             raise Refusal(RefusalCode.DEADLINE, 'the deadline passed in order')
 
-    def has_forerunner(self, call: LiveCall) -> bool:
+    def has_predecessor(self, call: LiveCall) -> bool:
         """Tell whether the next call in order is here already."""
         return any(
             other.request.sequence == self.program.next_sequence
@@ -133,7 +136,7 @@
             if other is not call
         )
 
-    async def wait_change(self, duration_ms: float) -> None:
+    async def wait_for_change(self, duration_ms: float) -> None:
         """Wait for a change, at most so long."""
         try:
             async with self.clock.timeout_ms(duration_ms):
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -89,7 +89,7 @@
             self.parts.location.zone,
             self.parts.location.region,
             prompt if history.entries else self.message_tokens,
-            self.live.cached,
+            self.live.cached_tokens,
             float(max_tokens) * self.spec.decode_ms,
             self.spec.prefill_ms,
             frozenset(self.avoid),
@@ -126,7 +126,7 @@
         """Build the message, with the part of the history that is missing."""
         history = self.program.history
         model = self.spec.kind == 'model'
-        base = self.live.held.get(host.sidecar, EMPTY_DIGEST)
+        base = self.live.sidecar_digests.get(host.sidecar, EMPTY_DIGEST)
         delta = history.since(base) if model else []
         if delta is None:
             base, delta = EMPTY_DIGEST, history.entries
@@ -195,5 +195,5 @@
 
     def note_held(self, host: HostView) -> None:
         """Remember what the host's sidecar and engine now hold."""
-        self.live.held[host.sidecar] = self.program.history.digest
-        self.live.cached[host.sidecar] = self.live.history_tokens
+        self.live.sidecar_digests[host.sidecar] = self.program.history.digest
+        self.live.cached_tokens[host.sidecar] = self.live.history_tokens
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -195,7 +195,7 @@
 
     def note_maybe_ran(self) -> None:
         """Note that a try of this call may have run."""
-        self.live.maybe_ran[self.request.key] = None
+        self.live.maybe_ran_keys[self.request.key] = None
 
     async def reserve(self) -> int:
         """Make sure that the budget covers the call.
--- a/test/test_broken.py
+++ b/test/test_broken.py
@@ -136,7 +136,7 @@
     Break(
         'calls do not wait for their turn',
         LiveProgram,
-        'take_turn',
+        'wait_for_predecessors',
         take_any_turn,
         'calls_sent_at_once',
     ),
