--- a/pollenwalk/process/adoption.py
+++ b/pollenwalk/process/adoption.py
@@ -18,7 +18,7 @@
     adopted_incarnations,
     replay,
 )
-from pollenwalk.program.program import ProgramBook, snapshot_of
+from pollenwalk.program.program import ProgramTable, snapshot_of
 from pollenwalk.program.records import Adopted, Claimed, Snapshot
 
 CHUNK_BYTES = 300_000
@@ -74,25 +74,25 @@
     async def adopt(self, dead: str) -> None:
         """Copy all programs, then make the copy count."""
         sealed = await self.takeover.read_sealed(dead)
-        book = replay(sealed)
-        await self.copy(book, dead)
-        self.home.book.join(book)
-        self.home.recovery.recover(book.programs.values())
+        table = replay(sealed)
+        await self.copy(table, dead)
+        self.home.table.merge(table)
+        self.home.recovery.recover(table.programs.values())
         inherited = adopted_incarnations(sealed)
         self.adopted.update(dict.fromkeys([dead, *sorted(inherited)]))
-        logger.info('entry_adopted', dead=dead, programs=len(book.programs))
+        logger.info('entry_adopted', dead=dead, programs=len(table.programs))
         for incarnation in sorted(inherited):
             await self.name_successor(incarnation)
         await self.delete_segments(dead, sealed.content)
 
-    async def copy(self, book: ProgramBook, dead: str) -> None:
+    async def copy(self, table: ProgramTable, dead: str) -> None:
         """Commit all programs and settled keys, then make them count."""
         journal = self.home.parts.recorder.journal
-        for chunk in chunks(book, dead):
+        for chunk in chunks(table, dead):
             await journal.commit(chunk)
         claims = [
             Claimed(caller, key, program)
-            for (caller, key), program in book.claims.items()
+            for (caller, key), program in table.claims.items()
         ]
         await journal.commit([*claims, Adopted(dead)])
 
@@ -133,11 +133,11 @@
                 return
 
 
-def chunks(book: ProgramBook, origin: str) -> list[list[Snapshot]]:
-    """Split a book into commits of bounded size."""
+def chunks(table: ProgramTable, origin: str) -> list[list[Snapshot]]:
+    """Split a table into commits of bounded size."""
     parts: list[list[Snapshot]] = [[]]
     size = 0
-    for program in book.programs.values():
+    for program in table.programs.values():
         snapshot = snapshot_of(program, origin)
         weight = len(msgspec.msgpack.encode(snapshot))
         if parts[-1] and size + weight > CHUNK_BYTES:
--- a/pollenwalk/process/beginnings.py
+++ b/pollenwalk/process/beginnings.py
@@ -81,7 +81,7 @@
         Raises:
             Refusal: its parent had given its tokens away meanwhile.
         """
-        if program_id not in self.home.book.programs:
+        if program_id not in self.home.table.programs:
             raise Refusal(
                 RefusalCode.BUDGET_EXHAUSTED,
                 'the parent has too few tokens to give',
@@ -90,11 +90,11 @@
 
     def known(self, request: BeginProgram) -> Program | None:
         """Give the program that was begun with this key or id."""
-        book = self.home.book
+        table = self.home.table
         program_id = request.program
         if request.key:
-            program_id = book.by_key.get((request.caller, request.key), program_id)
-        return book.programs.get(program_id)
+            program_id = table.ids_by_key.get((request.caller, request.key), program_id)
+        return table.programs.get(program_id)
 
     async def claim(self, caller: str, key: str, program: str) -> str:
         """Settle which program a key has begun; the first claim wins.
@@ -112,7 +112,7 @@
             Fenced: this home has a successor; ask there.
         """
         identity = (caller, key)
-        known = self.home.book.claims.get(identity)
+        known = self.home.table.claims.get(identity)
         if known or not program:
             return known or ''
         self.home.check_open()
@@ -124,7 +124,7 @@
             task.add_done_callback(lambda _: self.claiming.pop(identity, None))
         await self.durable(task)
         self.claimed_ms[identity] = self.parts.clock.now_ms()
-        return self.home.book.claims[identity]
+        return self.home.table.claims[identity]
 
     def repeated(self, program: Program, request: BeginProgram) -> Program:
         """Check that a repeat asks for the same program."""
@@ -190,7 +190,7 @@
         budget = self.parts.config.budget(request.caller)
         running = [
             program
-            for program in self.home.book.programs.values()
+            for program in self.home.table.programs.values()
             if program.caller == request.caller and not program.ended
         ]
         promised = sum(program.budget.limit for program in running)
@@ -239,8 +239,8 @@
     def drop_claims(self) -> None:
         """Forget keys whose retention has passed."""
         now_ms = self.parts.clock.now_ms()
-        for identity in list(self.home.book.claims):
+        for identity in list(self.home.table.claims):
             claimed_ms = self.claimed_ms.setdefault(identity, now_ms)
             if now_ms - claimed_ms > KEY_RETAIN_MS:
-                self.home.book.claims.pop(identity)
+                self.home.table.claims.pop(identity)
                 self.claimed_ms.pop(identity)
--- a/pollenwalk/process/compaction.py
+++ b/pollenwalk/process/compaction.py
@@ -66,7 +66,7 @@
 
     def forget_dropped(self) -> None:
         """Forget programs that the home has dropped."""
-        known = self.home.book.programs
+        known = self.home.table.programs
         self.base_of = {
             program: base for program, base in self.base_of.items() if program in known
         }
@@ -90,7 +90,7 @@
         """Write all claims again; they are small and expire soon."""
         claims = [
             Claimed(caller, key, program)
-            for (caller, key), program in self.home.book.claims.items()
+            for (caller, key), program in self.home.table.claims.items()
         ]
         base = self.journal.next_segment
         if claims:
--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -46,7 +46,7 @@
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.process.traces import Tracer
 from pollenwalk.process.witness import WitnessLog
-from pollenwalk.program.program import ProgramBook
+from pollenwalk.program.program import ProgramTable
 from pollenwalk.request.parts import Parts
 from pollenwalk.request.retry import RetryBudgets
 from pollenwalk.request.routing import Routing
@@ -164,8 +164,8 @@
         )
         self.journal.peers = self.peers.at
         self.journal.on_fenced = self.fenced
-        book = ProgramBook()
-        recorder = Recorder(self.journal, book, self.clock, self.home_tasks)
+        table = ProgramTable()
+        recorder = Recorder(self.journal, table, self.clock, self.home_tasks)
         parts = Parts(
             self.incarnation,
             self.clock,
@@ -179,7 +179,7 @@
             recorder,
             self.tracer,
         )
-        self.home = Home(parts, book, self.home_tasks)
+        self.home = Home(parts, table, self.home_tasks)
         self.compaction = Compaction(self.home, self.store)
         self.takeover = Takeover(
             self.store,
--- a/pollenwalk/process/home.py
+++ b/pollenwalk/process/home.py
@@ -26,7 +26,7 @@
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.process.upkeep import Upkeep
 from pollenwalk.program.live import LiveProgram
-from pollenwalk.program.program import FinishedCall, Program, ProgramBook
+from pollenwalk.program.program import FinishedCall, Program, ProgramTable
 from pollenwalk.program.records import (
     Ended,
     Forfeited,
@@ -58,10 +58,10 @@
 class Home:
     """All programs of one incarnation."""
 
-    def __init__(self, parts: Parts, book: ProgramBook, tasks: TaskSet) -> None:
-        """Start with the programs in `book`."""
+    def __init__(self, parts: Parts, table: ProgramTable, tasks: TaskSet) -> None:
+        """Start with the programs in `table`."""
         self.parts = parts
-        self.book = book
+        self.table = table
         self.tasks = tasks
         self.live: dict[str, LiveProgram] = {}
         self.stopping = False
@@ -89,7 +89,7 @@
         Raises:
             Refusal: there is no such program.
         """
-        program = self.book.programs.get(program_id)
+        program = self.table.programs.get(program_id)
         if program is None:
             raise unknown_program(program_id)
         live = self.live.get(program_id)
@@ -288,7 +288,7 @@
         """Give the sub-agents of a program that still run."""
         return [
             program
-            for program in self.book.programs.values()
+            for program in self.table.programs.values()
             if program.parent == program_id and not program.ended
         ]
 
--- a/pollenwalk/process/home_work.py
+++ b/pollenwalk/process/home_work.py
@@ -5,7 +5,7 @@
 
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.program.live import LiveCall, LiveProgram
-from pollenwalk.program.program import Program, ProgramBook
+from pollenwalk.program.program import Program, ProgramTable
 from pollenwalk.request.parts import Parts
 
 
@@ -14,13 +14,13 @@
 
     Attributes:
         parts: what all calls share.
-        book: the programs.
+        table: the programs.
         tasks: the background work.
         live: the programs that are at work.
     """
 
     parts: Parts
-    book: ProgramBook
+    table: ProgramTable
     tasks: TaskSet
     live: dict[str, LiveProgram]
 
--- a/pollenwalk/process/metrics.py
+++ b/pollenwalk/process/metrics.py
@@ -71,7 +71,7 @@
 
     def render(self, entry: EntryWork) -> tuple[bytes, str]:
         """Read the gauges off an entry and give the text of all metrics."""
-        self.programs.set({}, len(entry.home.book.programs))
+        self.programs.set({}, len(entry.home.table.programs))
         self.pending.set({}, len(entry.journal.pending))
         self.segments.set({}, entry.journal.segments_written)
         self.hosts.set({}, len(entry.fleet.hosts))
--- a/pollenwalk/process/recorder.py
+++ b/pollenwalk/process/recorder.py
@@ -20,7 +20,7 @@
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.process.witness import PeerSource
 from pollenwalk.program.live import LiveProgram
-from pollenwalk.program.program import ProgramBook
+from pollenwalk.program.program import ProgramTable
 from pollenwalk.program.records import Record
 
 SETTLE_PAUSE_MS = 200
@@ -36,13 +36,13 @@
     def __init__(
         self,
         journal: Journal,
-        book: ProgramBook,
+        table: ProgramTable,
         clock: Clock,
         tasks: TaskSet,
     ) -> None:
-        """Record into `journal`, then apply to `book`."""
+        """Record into `journal`, then apply to `table`."""
         self.journal = journal
-        self.book = book
+        self.table = table
         self.clock = clock
         self.tasks = tasks
         self.settled: dict[str, list[str]] = {}
@@ -94,7 +94,7 @@
         segment = self.journal.next_segment
         await self.journal.commit(records)
         for record in records:
-            self.book.apply(record)
+            self.table.apply(record)
         self.touched(records, segment)
 
     async def confirm(self, wait_ms: float) -> None:
--- a/pollenwalk/process/takeover.py
+++ b/pollenwalk/process/takeover.py
@@ -22,7 +22,7 @@
 )
 from pollenwalk.process.store import ObjectStore, create_once, make_nonce
 from pollenwalk.process.witness import PeerSource, WitnessLog, seal_at_witness
-from pollenwalk.program.program import Program, ProgramBook
+from pollenwalk.program.program import Program, ProgramTable
 from pollenwalk.program.records import (
     Adopted,
     Record,
@@ -157,25 +157,25 @@
         return None
 
 
-def replay(sealed: Sealed) -> ProgramBook:
+def replay(sealed: Sealed) -> ProgramTable:
     """Rebuild the programs of a sealed journal.
 
     Programs that were being adopted from a third journal count only when
     that adoption was completed.
     """
-    book = ProgramBook()
+    table = ProgramTable()
     arriving: dict[str, list[Snapshot]] = {}
     for record in sealed.records():
         if isinstance(record, Snapshot) and record.origin:
             arriving.setdefault(record.origin, []).append(record)
         elif isinstance(record, Adopted):
             for snapshot in arriving.pop(record.incarnation, []):
-                book.apply(snapshot)
+                table.apply(snapshot)
         else:
-            book.apply(record)
-    for program in book.programs.values():
+            table.apply(record)
+    for program in table.programs.values():
         mark_replayed(program, sealed.tail_lost)
-    return book
+    return table
 
 
 def mark_replayed(program: Program, tail_lost: bool) -> None:
--- a/pollenwalk/process/upkeep.py
+++ b/pollenwalk/process/upkeep.py
@@ -69,7 +69,7 @@
     def holdings(self) -> dict[str, list[str]]:
         """Give the running programs by the sidecars that hold for them."""
         holdings: dict[str, list[str]] = {}
-        for program in self.home.book.programs.values():
+        for program in self.home.table.programs.values():
             if program.ended:
                 continue
             for address in program.engine_sidecars:
@@ -88,7 +88,7 @@
         while True:
             await self.parts.clock.sleep_ms(SWEEP_MS)
             self.home.drop_claims()
-            for program in list(self.home.book.programs.values()):
+            for program in list(self.home.table.programs.values()):
                 await self.sweep_one(program)
 
     async def sweep_one(self, program: Program) -> None:
--- a/pollenwalk/program/program.py
+++ b/pollenwalk/program/program.py
@@ -140,13 +140,13 @@
     )
 
 
-class ProgramBook:
+class ProgramTable:
     """All programs of one home, changed by records alone."""
 
     def __init__(self) -> None:
         """Start empty."""
         self.programs: dict[str, Program] = {}
-        self.by_key: dict[tuple[str, str], str] = {}
+        self.ids_by_key: dict[tuple[str, str], str] = {}
         self.claims: dict[tuple[str, str], str] = {}
 
     def apply(self, record: Record) -> None:
@@ -176,9 +176,9 @@
         """File a program under its id and its key."""
         self.programs[program.id] = program
         if program.key:
-            self.by_key[program.caller, program.key] = program.id
+            self.ids_by_key[program.caller, program.key] = program.id
 
-    def join(self, other: 'ProgramBook') -> None:
+    def merge(self, other: 'ProgramTable') -> None:
         """Add all programs and settled keys of another home."""
         for program in other.programs.values():
             self.add(program)
@@ -198,34 +198,34 @@
                 program.budget.spent + program.budget.child_allocations,
             )
 
-    def drop(self, program: Program) -> None:
+    def remove(self, program: Program) -> None:
         """Forget a program."""
         self.programs.pop(program.id, None)
-        self.by_key.pop((program.caller, program.key), None)
+        self.ids_by_key.pop((program.caller, program.key), None)
 
     def set_budget(self, program: Program, budget: Budget) -> None:
         """Replace a program's budget."""
         program.budget = budget
 
 
-Applier = Callable[[ProgramBook, Program, Any], None]
+Applier = Callable[[ProgramTable, Program, Any], None]
 APPLIERS: dict[type[Any], Applier] = {
-    Reserved: lambda book, program, record: book.set_budget(
+    Reserved: lambda table, program, record: table.set_budget(
         program,
         program.budget.reserve(record.amount),
     ),
-    Forfeited: lambda book, program, record: book.set_budget(
+    Forfeited: lambda table, program, record: table.set_budget(
         program,
         program.budget.forfeit(),
     ),
-    Intended: lambda book, program, record: program.intents.update(
+    Intended: lambda table, program, record: program.intents.update(
         {record.key: record},
     ),
-    Withdrawn: lambda book, program, record: program.intents.pop(
+    Withdrawn: lambda table, program, record: program.intents.pop(
         record.key,
         None,
     ),
-    Finished: lambda book, program, record: program.finish(record),
-    Ended: lambda book, program, record: book.end(program),
-    Dropped: lambda book, program, record: book.drop(program),
+    Finished: lambda table, program, record: program.finish(record),
+    Ended: lambda table, program, record: table.end(program),
+    Dropped: lambda table, program, record: table.remove(program),
 }
--- a/pollenwalk/request/routing.py
+++ b/pollenwalk/request/routing.py
@@ -68,7 +68,7 @@
 
     def is_here(self, program_id: str) -> bool:
         """Tell whether this entry is a program's home."""
-        if program_id in self.home.book.programs:
+        if program_id in self.home.table.programs:
             return not self.home.parts.recorder.journal.fenced
         return home_of(program_id) == self.incarnation
 
@@ -176,7 +176,7 @@
     async def claim_here(self, message: ClaimKey) -> str:
         """Settle a key here, after asking who was its registrar before."""
         identity = (message.caller, message.key)
-        if identity not in self.home.book.claims:
+        if identity not in self.home.table.claims:
             earlier = await self.claimed_before(message)
             message = message._replace(program=earlier or message.program)
         return await self.home.beginnings.claim(*message)
--- a/standin/virtual/world.py
+++ b/standin/virtual/world.py
@@ -240,7 +240,7 @@
     def home_of(self, program: str) -> str:
         """Give the entry that is a program's home now."""
         for name, process in self.entries.items():
-            here = program in process.entry.home.book.programs
+            here = program in process.entry.home.table.programs
             if here and not process.node.dead and not process.entry.journal.fenced:
                 return name
         raise LookupError(f'nobody is home of {program}')
