--- a/pollenwalk/platform/documents.py
+++ b/pollenwalk/platform/documents.py
@@ -9,9 +9,9 @@
 from pollenwalk.version.routes import (
     CallerLimits,
     CallKind,
-    Configuration,
     Engine,
     Route,
+    RoutingConfiguration,
     Share,
     Upstream,
     index_routes,
@@ -126,14 +126,14 @@
         raise MalformedObject(f'{key}: {error}') from error
 
 
-def decode_configuration(key: str, body: bytes) -> Configuration:
+def decode_configuration(key: str, body: bytes) -> RoutingConfiguration:
     """Decode the operator's configuration.
 
     Raises:
         MalformedObject: it is no configuration.
     """
     wire: WireConfiguration = decode(CONFIGURATION_DECODER, key, body)
-    return Configuration(
+    return RoutingConfiguration(
         wire['version'],
         index_routes([decode_route(key, one) for one in wire['routes']]),
         {one['name']: decode_upstream(one) for one in wire['services']},
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -29,8 +29,8 @@
 from pollenwalk.request.sends import Upstreams
 from pollenwalk.request.streamed import Turn, UnboundTurn, run_stream
 from pollenwalk.request.traits import Request
-from pollenwalk.version.in_force import InForce
-from pollenwalk.version.routes import Configuration, Route
+from pollenwalk.version.active_configuration import ActiveConfiguration
+from pollenwalk.version.routes import Route, RoutingConfiguration
 
 # Retry-After before the configuration is known: a start takes about a second.
 STARTING_RETRY_MS = 500
@@ -87,7 +87,7 @@
         self.store = store
         self.clock = clock
         self.tasks = TaskSet()
-        self.in_force = InForce()
+        self.active_configuration = ActiveConfiguration()
         self.book = HostBook(clock)
         self.pool = LinkPool(clock)
         self.stopping = False
@@ -117,21 +117,21 @@
     @property
     def ready(self) -> bool:
         """Tell whether new callers may come."""
-        known = self.in_force.current is not None and self.book.listed
+        known = self.active_configuration.current is not None and self.book.listed
         known = known and self.links.members.listed
         decided = self.links.undecided_ms < UNDECIDED_MS
         return known and decided and not self.stopping
 
     def max_body_bytes(self) -> int:
         """Give the largest body that a caller may send now."""
-        current = self.in_force.current
+        current = self.active_configuration.current
         return current.limits.max_body_bytes if current else STARTING_BODY_BYTES
 
     async def start(self) -> None:
         """Follow the store."""
         relay = self.keepers.read_prefix
         configuration = Handlers(
-            self.in_force.take,
+            self.active_configuration.apply,
             self.book.store_answered,
             lambda error: self.store_failed('configuration', error),
             relay,
@@ -184,7 +184,7 @@
 
     def refresh_metrics(self) -> None:
         """Set the gauges."""
-        current = self.in_force.current
+        current = self.active_configuration.current
         links = self.links.ordered()
         self.metrics.version.set({}, current.version if current else 0)
         self.metrics.hosts.set({}, len(self.book.states))
@@ -238,7 +238,7 @@
         Raises:
             Refusal: there is none, or the request has no id.
         """
-        current = self.in_force.current
+        current = self.active_configuration.current
         if current is None:
             raise Refusal(
                 RefusalCode.NOT_CONFIGURED,
@@ -275,7 +275,7 @@
     return Refusal(RefusalCode.DEADLINE, 'the time is over', Outcome.UNKNOWN)
 
 
-def make_call(current: Configuration, route: Route, request: Request) -> Call:
+def make_call(current: RoutingConfiguration, route: Route, request: Request) -> Call:
     """Choose the upstream of a call and the end of its time."""
     traits = request.traits
     return Call(
--- a/pollenwalk/version/in_force.py
+++ b/pollenwalk/version/active_configuration.py
@@ -8,17 +8,17 @@
     decode_configuration,
 )
 from pollenwalk.process.store import StoredObject
-from pollenwalk.version.routes import Configuration
+from pollenwalk.version.routes import RoutingConfiguration
 
 
-class InForce:
+class ActiveConfiguration:
     """Takes each newer version as it comes."""
 
     def __init__(self) -> None:
         """Start without a configuration."""
-        self.current: Configuration | None = None
+        self.current: RoutingConfiguration | None = None
 
-    def take(self, stored: StoredObject) -> None:
+    def apply(self, stored: StoredObject) -> None:
         """Take a change of the configuration's object."""
         if stored.key != CONFIGURATION_KEY or not stored.body:
             return
--- a/pollenwalk/version/routes.py
+++ b/pollenwalk/version/routes.py
@@ -101,7 +101,7 @@
     max_body_bytes: int
 
 
-class Configuration(NamedTuple):
+class RoutingConfiguration(NamedTuple):
     """One version in full.
 
     Attributes:
