--- a/pollenwalk/connection/gateway_app.py
+++ b/pollenwalk/connection/gateway_app.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from pollenwalk.errors import BrokenAnswer, Outcome, Refusal, RefusalCode
-from pollenwalk.platform.headers import read_traits, request_headers, retry_header
+from pollenwalk.platform.headers import forwardable_headers, read_traits, retry_header
 from pollenwalk.process.clock import Clock
 from pollenwalk.request.reply import Reply
 from pollenwalk.request.traits import Headers, Request
@@ -200,7 +200,7 @@
         target=b'?'.join((path, query)) if query else path,
         path=path.decode('latin-1'),
         host=host.decode('latin-1'),
-        headers=request_headers(headers),
+        headers=forwardable_headers(headers),
         body=body,
         traits=read_traits(headers),
         arrived_ms=arrived_ms,
--- a/pollenwalk/connection/upstream_link.py
+++ b/pollenwalk/connection/upstream_link.py
@@ -168,7 +168,7 @@
             event = await self.next_event()
         if not isinstance(event, h11.Response):
             raise BrokenAnswer('the connection ended without an answer')
-        found = wire.read_answer(event.status_code, list(event.headers))
+        found = wire.read_answer_head(event.status_code, list(event.headers))
         if found.keep_ms is not None:
             self.keep_ms = found.keep_ms
         return found
--- a/pollenwalk/platform/documents.py
+++ b/pollenwalk/platform/documents.py
@@ -17,18 +17,18 @@
     index_routes,
 )
 
-CONFIGURATION_KIND = 'config/'
+CONFIGURATION_PREFIX = 'config/'
 CONFIGURATION_KEY = 'config/main'
-HOSTS_KIND = 'servers/'
-RETIREMENTS_KIND = 'retirements/'
+HOSTS_PREFIX = 'servers/'
+RETIREMENTS_PREFIX = 'retirements/'
 
 MS_PER_SECOND = 1000
-KINDS = {
+CALL_KINDS = {
     'safe': CallKind.SAFE,
     'unsafe': CallKind.UNSAFE,
     'streaming': CallKind.STREAM,
 }
-STATES = {'ready': False, 'draining': True}
+LEAVING_BY_STATE = {'ready': False, 'draining': True}
 
 
 class WireShare(TypedDict):
@@ -143,7 +143,7 @@
 
 def decode_route(key: str, wire: WireRoute) -> Route:
     """Decode one route."""
-    kind = KINDS.get(wire['kind'])
+    kind = CALL_KINDS.get(wire['kind'])
     shares = decode_shares(wire)
     if kind is None or not shares:
         raise MalformedObject(f'{key}: route {wire["name"]!r}')
@@ -196,12 +196,12 @@
         MalformedObject: it names no host that can be used.
     """
     wire: WireServer = decode(SERVER_DECODER, key, body)
-    leaving = STATES.get(wire['state'])
+    leaving = LEAVING_BY_STATE.get(wire['state'])
     address, _, port = wire['address'].rpartition(':')
     if leaving is None or not address or not port.isdecimal():
         raise MalformedObject(f'{key}: state or address')
     return UpstreamHost(
-        id=key.removeprefix(HOSTS_KIND),
+        id=key.removeprefix(HOSTS_PREFIX),
         upstream=wire['service'],
         address=wire['address'],
         zone=wire['zone'],
--- a/pollenwalk/platform/headers.py
+++ b/pollenwalk/platform/headers.py
@@ -28,7 +28,7 @@
 KEEP_ALIVE = b'keep-alive'
 ENCODING = b'content-encoding'
 
-ONE_CONNECTION = frozenset(
+HOP_BY_HOP = frozenset(
     (
         b'connection',
         KEEP_ALIVE,
@@ -44,7 +44,7 @@
     ),
 )
 # Only this system may set these.
-SET_BY_US = frozenset(
+RESERVED = frozenset(
     (
         DEADLINE,
         EXPECT_INSTANCE,
@@ -106,24 +106,28 @@
     return tuple(PromptPart(name, read_int(size) or 0) for name, _, size in pairs)
 
 
-def named_by_connection(headers: Iterable[tuple[bytes, bytes]]) -> frozenset[bytes]:
+def connection_options(headers: Iterable[tuple[bytes, bytes]]) -> frozenset[bytes]:
     """Give the headers that a `Connection` header claims for itself."""
     named = b','.join(field for name, field in headers if name == b'connection')
     return frozenset(one.strip().lower() for one in named.split(b','))
 
 
-def pass_on(headers: Headers) -> Headers:
+def end_to_end_headers(headers: Headers) -> Headers:
     """Leave out what concerns one connection."""
-    dropped = ONE_CONNECTION | named_by_connection(headers)
+    dropped = HOP_BY_HOP | connection_options(headers)
     return [(name, field) for name, field in headers if name not in dropped]
 
 
-def request_headers(headers: Headers) -> Headers:
+def forwardable_headers(headers: Headers) -> Headers:
     """Leave out what concerns one connection and what only we may set."""
-    return [(name, field) for name, field in pass_on(headers) if name not in SET_BY_US]
+    return [
+        (name, field)
+        for name, field in end_to_end_headers(headers)
+        if name not in RESERVED
+    ]
 
 
-def sent_headers(
+def added_headers(
     host: str,
     deadline_ms: float,
     priority: int | None,
@@ -154,13 +158,13 @@
     return RETRY_AFTER, f'{retry_after_ms / MS_PER_SECOND:.3f}'.encode()
 
 
-def read_answer(status: int, headers: Headers) -> AnswerHead:
+def read_answer_head(status: int, headers: Headers) -> AnswerHead:
     """Decode the beginning of an upstream host's answer."""
     found = {name: field.decode('latin-1').strip() for name, field in headers}
     retry_s = read_float(found.get(RETRY_AFTER))
     return AnswerHead(
         status=status,
-        headers=pass_on(headers),
+        headers=end_to_end_headers(headers),
         request=found.get(REQUEST_ID, ''),
         signed=SIGNATURE in found,
         refused=NOT_EXECUTED in found or status == MISDIRECTED,
--- a/pollenwalk/platform/objects.py
+++ b/pollenwalk/platform/objects.py
@@ -67,7 +67,7 @@
 EVENTS_DECODER = msgspec.json.Decoder(WireEvents)
 
 
-class Answer(TypedDict):
+class StoreAnswer(TypedDict):
     """What the store answered."""
 
     status: int
@@ -87,7 +87,7 @@
         path: str,
         document: Any = None,
         timeout_s: float = ANSWER_TIMEOUT_S,
-    ) -> Answer:
+    ) -> StoreAnswer:
         """Make one call.
 
         Raises:
@@ -104,7 +104,7 @@
                 headers=headers,
                 timeout=aiohttp.ClientTimeout(total=timeout_s),
             ) as response:
-                answer = Answer(status=response.status, body=await response.read())
+                answer = StoreAnswer(status=response.status, body=await response.read())
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise StoreUnavailable(f'{method} {path}: {error!r}') from error
         check_status(answer['status'], method, path)
@@ -203,10 +203,10 @@
 
 def make_socket(address: tuple[Any, ...]) -> socket.socket:
     """Make a socket that notices a silent peer."""
-    made = socket.socket(family=address[0], type=address[1], proto=address[2])
-    made.setblocking(False)
-    probe_peer(made)
-    return made
+    new_socket = socket.socket(family=address[0], type=address[1], proto=address[2])
+    new_socket.setblocking(False)
+    probe_peer(new_socket)
+    return new_socket
 
 
 def check_status(status: int, method: str, path: str) -> None:
@@ -227,17 +227,17 @@
         wire: WireObject = OBJECT_DECODER.decode(body)
     except msgspec.DecodeError as error:
         raise StoreUnavailable(f'{key}: {error}') from error
-    return as_stored(key, wire)
+    return to_stored_object(key, wire)
 
 
-def as_stored(key: str, wire: WireObject) -> StoredObject:
+def to_stored_object(key: str, wire: WireObject) -> StoredObject:
     """Convert an object; one without `spec` has the body `null`."""
     spec = wire.get('spec')
     body = b'null' if spec is None else bytes(spec)
     return StoredObject(key, body, wire['metadata']['revision'])
 
 
-def read_page(answer: Answer) -> WireList:
+def read_page(answer: StoreAnswer) -> WireList:
     """Read a page of a list."""
     try:
         return LIST_DECODER.decode(answer['body'])
@@ -257,7 +257,9 @@
     """Read the objects of a page; one without a readable name is left out."""
     wires = (read_metadata(raw) for raw in items)
     return [
-        as_stored(f'{prefix}{wire["metadata"]["name"]}', wire) for wire in wires if wire
+        to_stored_object(f'{prefix}{wire["metadata"]["name"]}', wire)
+        for wire in wires
+        if wire
     ]
 
 
@@ -275,5 +277,5 @@
     wire = None if raw is None else read_metadata(raw)
     if wire is None:
         return None
-    stored = as_stored(f'{prefix}{wire["metadata"]["name"]}', wire)
+    stored = to_stored_object(f'{prefix}{wire["metadata"]["name"]}', wire)
     return stored._replace(body=b'') if event.get('tombstone') else stored
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -10,7 +10,7 @@
 from pollenwalk.connection.channel import StreamNetwork
 from pollenwalk.connection.link_pool import LinkPool
 from pollenwalk.errors import Outcome, Refusal, RefusalCode, StoreUnavailable
-from pollenwalk.platform.documents import CONFIGURATION_KIND, HOSTS_KIND
+from pollenwalk.platform.documents import CONFIGURATION_PREFIX, HOSTS_PREFIX
 from pollenwalk.policy.host_choice import EarliestFinish
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.following import Follower, Handlers
@@ -150,8 +150,8 @@
         )
         wait_ms = self.settings.change_delay_ms * CONFIGURATION_SHARE
         members_wait_ms = self.settings.leave_notice_ms * MEMBERS_SHARE
-        self.follow(CONFIGURATION_KIND, configuration, wait_ms)
-        self.follow(HOSTS_KIND, hosts, members_wait_ms)
+        self.follow(CONFIGURATION_PREFIX, configuration, wait_ms)
+        self.follow(HOSTS_PREFIX, hosts, members_wait_ms)
         self.follow(KEEPERS, keepers, members_wait_ms)
 
     def follow(
--- a/pollenwalk/process/host_book.py
+++ b/pollenwalk/process/host_book.py
@@ -11,7 +11,7 @@
 
 from pollenwalk.connection.hosts import UpstreamHost
 from pollenwalk.errors import MalformedObject
-from pollenwalk.platform.documents import HOSTS_KIND, decode_host
+from pollenwalk.platform.documents import HOSTS_PREFIX, decode_host
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.store import StoredObject
 
@@ -98,7 +98,7 @@
 
     def take(self, stored: StoredObject) -> None:
         """Take a change of one host's entry."""
-        name = stored.key.removeprefix(HOSTS_KIND)
+        name = stored.key.removeprefix(HOSTS_PREFIX)
         if not stored.body:
             self.entry_gone(name, stored.version)
             return
--- a/pollenwalk/process/retirement.py
+++ b/pollenwalk/process/retirement.py
@@ -12,7 +12,7 @@
 from pollenwalk.connection.wire import encode_datagram
 from pollenwalk.errors import MalformedObject, PollenwalkError
 from pollenwalk.platform.documents import (
-    RETIREMENTS_KIND,
+    RETIREMENTS_PREFIX,
     decode_retirement,
     retirement_status,
 )
@@ -47,7 +47,7 @@
         """Wait for the request."""
         self.keeper = keeper
         self.store = store
-        self.key = f'{RETIREMENTS_KIND}{keeper.settings.name}'
+        self.key = f'{RETIREMENTS_PREFIX}{keeper.settings.name}'
         self.begun = False
 
     async def follow(self) -> None:
@@ -56,7 +56,7 @@
         await Follower(
             self.store,
             self.keeper.clock,
-            RETIREMENTS_KIND,
+            RETIREMENTS_PREFIX,
             handlers,
             wait_ms=REQUEST_WAIT_MS,
         ).run()
--- a/pollenwalk/request/sends.py
+++ b/pollenwalk/request/sends.py
@@ -18,7 +18,7 @@
     Refusal,
     RefusalCode,
 )
-from pollenwalk.platform.headers import resume_header, sent_headers
+from pollenwalk.platform.headers import added_headers, resume_header
 from pollenwalk.policy.door import may_begin, return_after_ms
 from pollenwalk.policy.host_choice import Work
 from pollenwalk.process.clock import Clock
@@ -232,7 +232,7 @@
     def headers(self, state: HostState, last_event: str) -> Headers:
         """Write the headers for one host."""
         rest_ms = self.call.rest_ms(self.upstreams.clock.now_ms())
-        added = sent_headers(state.listed.id, rest_ms, None)
+        added = added_headers(state.listed.id, rest_ms, None)
         given = self.call.request.headers
         if last_event:
             resume = resume_header(last_event)
--- a/test/platform/test_headers.py
+++ b/test/platform/test_headers.py
@@ -3,11 +3,11 @@
 import testtools
 
 from pollenwalk.platform.headers import (
-    read_answer,
+    added_headers,
+    forwardable_headers,
+    read_answer_head,
     read_traits,
-    request_headers,
     retry_header,
-    sent_headers,
 )
 from pollenwalk.request.traits import PromptPart
 
@@ -85,7 +85,7 @@
                 (b'x-pollenwalk-request-id', b'9c41'),
                 (b'accept', b'text/event-stream'),
             ],
-            request_headers(given),
+            forwardable_headers(given),
         )
 
     def test_ours_are_set(self) -> None:
@@ -95,7 +95,7 @@
                 (b'x-pollenwalk-deadline-ms', b'1499'),
                 (b'x-pollenwalk-request-priority', b'3'),
             ],
-            sent_headers('i-1', 1499.9, 3),
+            added_headers('i-1', 1499.9, 3),
         )
 
     def test_retry_after_is_in_seconds(self) -> None:
@@ -106,7 +106,7 @@
     """What an answer says."""
 
     def test_all(self) -> None:
-        head = read_answer(
+        head = read_answer_head(
             200,
             [
                 (b'x-pollenwalk-request-id', b'9c41'),
@@ -126,12 +126,12 @@
 
     def test_proofs_that_it_did_not_run(self) -> None:
         self.assertTrue(
-            read_answer(503, [(b'x-pollenwalk-not-executed', b'1')]).refused
+            read_answer_head(503, [(b'x-pollenwalk-not-executed', b'1')]).refused
         )
-        self.assertTrue(read_answer(421, []).refused)
-        self.assertFalse(read_answer(503, []).refused)
+        self.assertTrue(read_answer_head(421, []).refused)
+        self.assertFalse(read_answer_head(503, []).refused)
 
     def test_a_load_that_makes_no_sense_is_none(self) -> None:
         self.assertIsNone(
-            read_answer(200, [(b'x-pollenwalk-server-load', b'3,x')]).load,
+            read_answer_head(200, [(b'x-pollenwalk-server-load', b'3,x')]).load,
         )
--- a/test/process/test_gateway.py
+++ b/test/process/test_gateway.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from pollenwalk.platform.documents import CONFIGURATION_KIND, HOSTS_KIND
+from pollenwalk.platform.documents import CONFIGURATION_PREFIX, HOSTS_PREFIX
 from pollenwalk.process.gateway import Gateway, GatewaySettings
 from pollenwalk.process.store import Changes
 from standin.link import Place
@@ -61,7 +61,7 @@
 
     @virtual
     async def test_any_watch_that_fails_makes_entries_doubtful(self) -> None:
-        for kind in (CONFIGURATION_KIND, HOSTS_KIND):
+        for kind in (CONFIGURATION_PREFIX, HOSTS_PREFIX):
             gateway = await self.gateway(kind)
             self.assertTrue(gateway.book.store_unsettled(), kind)
             await gateway.stop()
@@ -75,8 +75,8 @@
     @virtual
     async def test_watches_end_before_what_depends_on_them(self) -> None:
         gateway = await self.gateway()
-        self.assertTrue(self.waits[CONFIGURATION_KIND] <= CHANGE_DELAY_MS / 2)
-        self.assertTrue(self.waits[HOSTS_KIND] <= LEAVE_NOTICE_MS * 2 / 3)
+        self.assertTrue(self.waits[CONFIGURATION_PREFIX] <= CHANGE_DELAY_MS / 2)
+        self.assertTrue(self.waits[HOSTS_PREFIX] <= LEAVE_NOTICE_MS * 2 / 3)
         await gateway.stop()
 
     @virtual
