--- a/pollenwalk/commands/deployment.py
+++ b/pollenwalk/commands/deployment.py
@@ -7,7 +7,12 @@
 
 from pollenwalk.errors import UserError
 from pollenwalk.platform.deploy_file import DeployedRole, read_deploy_file
-from pollenwalk.platform.templates import HOST_CLASS, Fields, fill_in, read_fields
+from pollenwalk.platform.templates import (
+    HOST_CLASS,
+    Fields,
+    fill_template,
+    read_field_file,
+)
 from pollenwalk.process.settings import ROLES, parse_settings
 from pollenwalk.version.fields import read_text
 
@@ -41,7 +46,7 @@
     roles = read_deploy_file(options.deploy)
     templates = {role.name: read_template(options.deploy, role) for role in roles}
     for path in options.host_settings:
-        fields = read_fields(path)
+        fields = read_field_file(path)
         check_host(path, fields, roles, templates)
     for role in roles:
         sys.stdout.write(f'{role.name}: on {role.host_class}: valid\n')
@@ -76,5 +81,5 @@
     if not here:
         raise UserError(f'{path}: no role runs on hosts of class {host_class!r}')
     for role in here:
-        text = fill_in(templates[role.name], fields)
+        text = fill_template(templates[role.name], fields)
         parse_settings(text, f'{role.template.name} for {path.name}', role.name)
--- a/pollenwalk/connection/http_api.py
+++ b/pollenwalk/connection/http_api.py
@@ -31,7 +31,7 @@
 from pollenwalk.process.entry import Entry
 from pollenwalk.process.metrics import EntryMetrics
 from pollenwalk.process.trace_header import HEADER as TRACE_HEADER
-from pollenwalk.program.view import problem
+from pollenwalk.program.view import problem_document
 from pollenwalk.version.resources import ProgramSpec
 
 MAX_BODY_BYTES = 1_000_000
@@ -94,7 +94,7 @@
         seconds = -(-refusal.retry_after_ms // MS_PER_SECOND)
         headers['Retry-After'] = str(seconds)
     status = STATUSES.get(refusal.code, HTTPStatus.SERVICE_UNAVAILABLE)
-    body = {'status': int(status), **problem(RefusalBody.of(refusal))}
+    body = {'status': int(status), **problem_document(RefusalBody.of(refusal))}
     return JSONResponse(
         body,
         status_code=status,
@@ -312,7 +312,7 @@
             refusal = error
             if not isinstance(refusal, Refusal):
                 refusal = Refusal(RefusalCode.OUTCOME_UNKNOWN, str(error))
-            yield event('error', problem(RefusalBody.of(refusal)))
+            yield event('error', problem_document(RefusalBody.of(refusal)))
 
     def as_event(self, message: CallProgram, item: Tokens | Answer) -> bytes:
         """Pack tokens or the answer."""
--- a/pollenwalk/platform/deploy_file.py
+++ b/pollenwalk/platform/deploy_file.py
@@ -41,8 +41,8 @@
 
 def read_role(path: Path, project: Path, name: str, entry: object) -> DeployedRole:
     """Read one role."""
-    given = entry if isinstance(entry, dict) else {}
+    entry_table = entry if isinstance(entry, dict) else {}
     for key in ('run', 'on', 'template'):
-        if not isinstance(given.get(key), str):
+        if not isinstance(entry_table.get(key), str):
             raise UserError(f'{path}: [roles.{name}] needs {key} = "..."')
-    return DeployedRole(name, given['on'], project / given['template'])
+    return DeployedRole(name, entry_table['on'], project / entry_table['template'])
--- a/pollenwalk/platform/templates.py
+++ b/pollenwalk/platform/templates.py
@@ -20,7 +20,7 @@
 HOST_CLASS = 'machine_class'
 
 
-def read_fields(path: Path) -> Fields:
+def read_field_file(path: Path) -> Fields:
     """Read a file of fields, one `name=value` a line.
 
     Raises:
@@ -35,7 +35,7 @@
     return fields
 
 
-def table(fields: Fields, name: str) -> Fields:
+def table_entries(fields: Fields, name: str) -> Fields:
     """Give the entries of a table, by their names within it."""
     prefix = f'{name}.'
     return {
@@ -45,7 +45,7 @@
     }
 
 
-def look_up(fields: Fields, name: str) -> str:
+def find_value(fields: Fields, name: str) -> str:
     """Give a field, an entry of a list of values, or nothing."""
     field = fields.get(name)
     if field is not None:
@@ -57,24 +57,24 @@
     return ''
 
 
-def fill_in(template: str, fields: Fields) -> str:
+def fill_template(template: str, fields: Fields) -> str:
     """Fill in a template; what has no field is left empty."""
-    text = SECTION.sub(section_of(fields), template)
-    return PLACEHOLDER.sub(lambda found: look_up(fields, found.group(1)), text)
+    text = SECTION.sub(section_filler(fields), template)
+    return PLACEHOLDER.sub(lambda found: find_value(fields, found.group(1)), text)
 
 
-def section_of(fields: Fields) -> Callable[[re.Match[str]], str]:
+def section_filler(fields: Fields) -> Callable[[re.Match[str]], str]:
     """Make the function that fills in one section."""
 
     def section(found: re.Match[str]) -> str:  # noqa: WPS430
         name, body = found.groups()
-        entries = table(fields, name)
+        entries = table_entries(fields, name)
         if entries:
             return ''.join(
                 body.replace('{{@}}', key).replace('{{.}}', field)
                 for key, field in entries.items()
             )
-        field = look_up(fields, name)
+        field = find_value(fields, name)
         return body.replace('{{.}}', field) if field else ''
 
     return section
--- a/pollenwalk/process/acceptance.py
+++ b/pollenwalk/process/acceptance.py
@@ -18,8 +18,8 @@
 from pollenwalk.version.config import (
     Accepted,
     Configuration,
-    dangling,
     spec_to_json,
+    undeclared_references,
 )
 from pollenwalk.version.fields import InvalidFile
 from pollenwalk.version.resources import (
@@ -232,7 +232,7 @@
         problems, resource = parse_section(section, wish.keys, stored.key)
         if resource is None:
             return None, InvalidFile(problems).message
-        missing = dangling(resource, self.config)
+        missing = undeclared_references(resource, self.config)
         if missing:
             return None, '; '.join(missing)
         return spec_to_json(resource.spec), ''
--- a/pollenwalk/process/metrics.py
+++ b/pollenwalk/process/metrics.py
@@ -76,6 +76,6 @@
         self.segments.set({}, entry.journal.segments_written)
         self.hosts.set({}, len(entry.fleet.hosts))
         self.forwarded.set({}, entry.routing.forwarded)
-        self.version.set({}, entry.config.newest())
+        self.version.set({}, entry.config.highest_version())
         body, headers = render(self.registry, ['text/plain'])
         return body, headers['Content-Type']
--- a/pollenwalk/process/settings.py
+++ b/pollenwalk/process/settings.py
@@ -15,12 +15,12 @@
     Field,
     InvalidFile,
     Problem,
+    choice_field,
     field_errors,
+    int_field,
     missing_keys,
-    read_choice,
+    number_field,
     read_fields,
-    read_int,
-    read_number,
     read_text,
 )
 
@@ -28,9 +28,9 @@
 REGIONS = 'regions'
 SCHEMAS: dict[str, dict[str, Field]] = {
     'process': {
-        'log_level': read_choice('DEBUG', 'INFO', 'WARNING', 'ERROR'),
+        'log_level': choice_field('DEBUG', 'INFO', 'WARNING', 'ERROR'),
         'trace_file': TEXT,
-        'trace_share': read_number(0, 1),
+        'trace_share': number_field(0, 1),
     },
     'store': {'url': URL},
     'hosts': {'url': URL},
@@ -38,10 +38,10 @@
         'address': ADDRESS,
         'http': ADDRESS,
         'zone': NAME,
-        'witnesses': read_int(0, 8),
-        'journal_interval_ms': read_number(0, 60_000),
-        'store_writes_per_second': read_number(1, 100_000),
-        'placement': read_choice(
+        'witnesses': int_field(0, 8),
+        'journal_interval_ms': number_field(0, 60_000),
+        'store_writes_per_second': number_field(1, 100_000),
+        'placement': choice_field(
             'expected-finish',
             'round-robin',
             'least-loaded',
@@ -55,9 +55,9 @@
         'http': ADDRESS,
         'zone': NAME,
         'url': URL,
-        'kind': read_choice('model', 'plain'),
+        'kind': choice_field('model', 'plain'),
         'entries': ADDRESSES,
-        'coalesce_ms': read_number(0, 40),
+        'coalesce_ms': number_field(0, 40),
     },
     'gateway': {
         'name': NAME,
@@ -65,10 +65,10 @@
         'http': ADDRESS,
         'ready': ADDRESS,
         'metrics': ADDRESS,
-        'grace_s': read_number(0, 600),
-        'change_delay_ms': read_number(100, 600_000),
-        'leave_notice_ms': read_number(100, 600_000),
-        'tolerated_losses': read_int(0, 16),
+        'grace_s': number_field(0, 600),
+        'change_delay_ms': number_field(100, 600_000),
+        'leave_notice_ms': number_field(100, 600_000),
+        'tolerated_losses': int_field(0, 16),
     },
     'keeper': {
         'name': NAME,
@@ -76,16 +76,16 @@
         'address': ADDRESS,
         'metrics': ADDRESS,
         'folder': TEXT,
-        'first_start': read_choice('true', 'false'),
-        'tolerated_losses': read_int(0, 16),
+        'first_start': choice_field('true', 'false'),
+        'tolerated_losses': int_field(0, 16),
     },
     'load': {
         'entries': URLS,
-        'seed': read_int(0, 1_000_000_000),
-        'rate': read_number(0.001, 100_000),
-        'programs': read_int(1, 10_000_000),
-        'arrival': read_choice('poisson', 'steady', 'burst'),
-        'spares_share': read_number(0, 1),
+        'seed': int_field(0, 1_000_000_000),
+        'rate': number_field(0.001, 100_000),
+        'programs': int_field(1, 10_000_000),
+        'arrival': choice_field('poisson', 'steady', 'burst'),
+        'spares_share': number_field(0, 1),
     },
 }
 ROLES: dict[str, tuple[str, ...]] = {
--- a/pollenwalk/process/sidecar.py
+++ b/pollenwalk/process/sidecar.py
@@ -24,7 +24,7 @@
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.process.traces import Tracer
 from pollenwalk.process.upstream_calls import UpstreamCalls
-from pollenwalk.version.config import spec_from
+from pollenwalk.version.config import spec_from_json
 from pollenwalk.version.resources import Kind
 
 REPORT_MS = 1000
@@ -202,7 +202,7 @@
             return
         if message.version <= self.spec_version:
             return
-        self.work.spec = spec_from(Kind.UPSTREAM, message.spec)
+        self.work.spec = spec_from_json(Kind.UPSTREAM, message.spec)
         self.spec_version = message.version
         self.work.admission.resize(self.work.spec.slots, self.work.spec.queue)
         self.send_report()
--- a/pollenwalk/program/view.py
+++ b/pollenwalk/program/view.py
@@ -77,11 +77,11 @@
         body['output'] = finished.answer.output
         body['tokens'] = finished.answer.tokens
     if finished.refusal is not None:
-        body['error'] = problem(finished.refusal)
+        body['error'] = problem_document(finished.refusal)
     return body
 
 
-def problem(refusal: RefusalBody) -> dict[str, Any]:
+def problem_document(refusal: RefusalBody) -> dict[str, Any]:
     """Show a refusal as a problem document."""
     return {
         'title': refusal.message,
--- a/pollenwalk/version/config.py
+++ b/pollenwalk/version/config.py
@@ -52,7 +52,7 @@
         if accepted.spec is None:
             self.specs.pop(resource_id, None)
         else:
-            self.specs[resource_id] = spec_from(resource_id.kind, accepted.spec)
+            self.specs[resource_id] = spec_from_json(resource_id.kind, accepted.spec)
         self.on_accept(accepted)
         return True
 
@@ -73,12 +73,12 @@
         spec = self.specs.get(ResourceId(Kind.PRIORITY, priority))
         return spec.level if isinstance(spec, PrioritySpec) else DEFAULT_LEVEL
 
-    def newest(self) -> int:
+    def highest_version(self) -> int:
         """Give the highest version in force."""
         return max((one.version for one in self.accepted.values()), default=0)
 
 
-def spec_from(kind: Kind, fields: dict[str, Any]) -> Spec:
+def spec_from_json(kind: Kind, fields: dict[str, Any]) -> Spec:
     """Rebuild a spec from JSON."""
     known = SPEC_TYPES[kind]._fields
     return SPEC_TYPES[kind](
@@ -91,7 +91,7 @@
     return msgspec.to_builtins(spec._asdict())
 
 
-def dangling(resource: Resource, config: Configuration) -> list[str]:
+def undeclared_references(resource: Resource, config: Configuration) -> list[str]:
     """Tell what a resource refers to that is not in force."""
     spec = resource.spec
     if not isinstance(spec, ProgramSpec):
--- a/pollenwalk/version/fields.py
+++ b/pollenwalk/version/fields.py
@@ -12,7 +12,7 @@
 
 from pollenwalk.errors import UserError
 
-MAX_NAME = 63
+MAX_NAME_LENGTH = 63
 MAX_PORT = 65_535
 
 
@@ -31,7 +31,7 @@
     key: str
     text: str
 
-    def line(self) -> str:
+    def describe(self) -> str:
         """Describe the error in one line."""
         return f'{self.source}: [{self.section}] {self.key}: {self.text}'
 
@@ -43,7 +43,7 @@
 
     def __init__(self, problems: list[Problem]) -> None:
         """Keep all errors."""
-        super().__init__('\n'.join(problem.line() for problem in problems))
+        super().__init__('\n'.join(problem.describe() for problem in problems))
         self.problems = problems
 
 
@@ -59,7 +59,7 @@
         raise UserError(f'{path}: {error}') from error
 
 
-def read_int(low: int, high: int) -> Field:
+def int_field(low: int, high: int) -> Field:
     """Make a field that holds a whole number within bounds."""
 
     def read(text: str) -> int:  # noqa: WPS430
@@ -71,7 +71,7 @@
     return Field(read, f'a whole number from {low} to {high}')
 
 
-def read_number(low: float, high: float) -> Field:
+def number_field(low: float, high: float) -> Field:
     """Make a field that holds a number within bounds."""
 
     def read(text: str) -> float:  # noqa: WPS430
@@ -83,7 +83,7 @@
     return Field(read, f'a number from {low} to {high}')
 
 
-def read_choice(*choices: str) -> Field:
+def choice_field(*choices: str) -> Field:
     """Make a field that holds one of a few words."""
 
     def read(text: str) -> str:  # noqa: WPS430
@@ -97,7 +97,7 @@
 def read_name(text: str) -> str:
     """Read a name of letters, digits, hyphens and underscores."""
     plain = text.replace('-', '').replace('_', '')
-    if not plain.isalnum() or not plain.isascii() or len(text) > MAX_NAME:
+    if not plain.isalnum() or not plain.isascii() or len(text) > MAX_NAME_LENGTH:
         raise ValueError(text)
     return text
 
@@ -107,7 +107,7 @@
     return [read_name(part.strip()) for part in text.split(',') if part.strip()]
 
 
-NAME = Field(read_name, f'a name: letters, digits, - and _, at most {MAX_NAME}')
+NAME = Field(read_name, f'a name: letters, digits, - and _, at most {MAX_NAME_LENGTH}')
 NAMES = Field(read_names, 'names split by commas')
 
 
--- a/pollenwalk/version/resources.py
+++ b/pollenwalk/version/resources.py
@@ -14,13 +14,13 @@
     Field,
     InvalidFile,
     Problem,
+    choice_field,
     field_errors,
+    int_field,
     missing_keys,
-    read_choice,
+    number_field,
     read_fields,
-    read_int,
     read_name,
-    read_number,
 )
 
 
@@ -117,34 +117,34 @@
 
 
 DAY_MS = 86_400_000
-TOKENS = read_int(1, 1_000_000_000)
-DURATION = read_int(1, DAY_MS)
+TOKENS = int_field(1, 1_000_000_000)
+DURATION = int_field(1, DAY_MS)
 SCHEMAS: dict[Kind, dict[str, Field]] = {
     Kind.PROGRAM: {
         'upstreams': NAMES,
         'budget_tokens': TOKENS,
         'reserve_tokens': TOKENS,
         'priority': NAME,
-        'max_calls': read_int(1, 100_000),
-        'loop_limit': read_int(1, 10_000),
+        'max_calls': int_field(1, 100_000),
+        'loop_limit': int_field(1, 10_000),
         'deadline_ms': DURATION,
         'idle_ms': DURATION,
     },
     Kind.UPSTREAM: {
-        'kind': read_choice('model', 'plain'),
+        'kind': choice_field('model', 'plain'),
         'idempotent': NAMES,
         'non_idempotent': NAMES,
         'timeout_ms': DURATION,
-        'slots': read_int(1, 10_000),
-        'queue': read_int(0, 100_000),
-        'prefill_ms': read_number(0, 1000),
-        'decode_ms': read_number(0, 10_000),
+        'slots': int_field(1, 10_000),
+        'queue': int_field(0, 100_000),
+        'prefill_ms': number_field(0, 1000),
+        'decode_ms': number_field(0, 10_000),
     },
     Kind.BUDGET: {
-        'concurrent_programs': read_int(0, 1_000_000),
-        'tokens': read_int(0, 1_000_000_000_000),
+        'concurrent_programs': int_field(0, 1_000_000),
+        'tokens': int_field(0, 1_000_000_000_000),
     },
-    Kind.PRIORITY: {'level': read_int(0, 9)},
+    Kind.PRIORITY: {'level': int_field(0, 9)},
 }
 REQUIRED = {Kind.PROGRAM: ('upstreams',), Kind.UPSTREAM: ('kind',)}
 SPEC_TYPES: dict[Kind, type[Any]] = {
--- a/test/platform/test_templates.py
+++ b/test/platform/test_templates.py
@@ -7,7 +7,7 @@
 import testtools
 
 from pollenwalk.commands.main import EXIT_USAGE, main
-from pollenwalk.platform.templates import fill_in
+from pollenwalk.platform.templates import fill_template
 from pollenwalk.process.settings import parse_settings
 
 DEPLOY = Path(__file__).resolve().parents[2] / 'deploy'
@@ -39,7 +39,7 @@
         deploy = tomllib.loads((DEPLOY / 'system.toml').read_text())
         for role, entry in deploy['roles'].items():
             template = (DEPLOY.parent / entry['template']).read_text()
-            settings = parse_settings(fill_in(template, VALUES), role, role)
+            settings = parse_settings(fill_template(template, VALUES), role, role)
             own = settings.of(role)
             self.assertEqual('front-1', own['name'])
             self.assertEqual(2, own['tolerated_losses'])
@@ -49,13 +49,13 @@
 
     def test_the_grace_period_may_be_a_fraction(self) -> None:
         template = (DEPLOY / 'gateway.ini').read_text()
-        text = fill_in(template, {**VALUES, 'bounds.grace_s': '8.5'})
+        text = fill_template(template, {**VALUES, 'bounds.grace_s': '8.5'})
         settings = parse_settings(text, 'gateway', 'gateway')
         self.assertEqual(8.5, settings.of('gateway')['grace_s'])
 
     def test_bounds_of_the_platform_go_before_ours(self) -> None:
         template = (DEPLOY / 'gateway.ini').read_text()
-        own = parse_settings(fill_in(template, VALUES), 'gateway', 'gateway').of(
+        own = parse_settings(fill_template(template, VALUES), 'gateway', 'gateway').of(
             'gateway'
         )
         self.assertEqual((4000, 5000), (own['change_delay_ms'], own['leave_notice_ms']))
@@ -63,7 +63,7 @@
     def test_bounds_that_the_platform_lacks_are_ours(self) -> None:
         given = {name: text for name, text in VALUES.items() if 'ms' not in name}
         template = (DEPLOY / 'gateway.ini').read_text()
-        text = fill_in(template, given)
+        text = fill_template(template, given)
         own = parse_settings(text, 'gateway', 'gateway').of('gateway')
         self.assertEqual((3000, 3000), (own['change_delay_ms'], own['leave_notice_ms']))
 
