--- a/pollenwalk/connection/http_api.py
+++ b/pollenwalk/connection/http_api.py
@@ -94,7 +94,10 @@
         seconds = -(-refusal.retry_after_ms // MS_PER_SECOND)
         headers['Retry-After'] = str(seconds)
     status = STATUSES.get(refusal.code, HTTPStatus.SERVICE_UNAVAILABLE)
-    body = {'status': int(status), **problem_document(RefusalBody.of(refusal))}
+    body = {
+        'status': int(status),
+        **problem_document(RefusalBody.from_refusal(refusal)),
+    }
     return JSONResponse(
         body,
         status_code=status,
@@ -312,7 +315,7 @@
             refusal = error
             if not isinstance(refusal, Refusal):
                 refusal = Refusal(RefusalCode.OUTCOME_UNKNOWN, str(error))
-            yield event('error', problem_document(RefusalBody.of(refusal)))
+            yield event('error', problem_document(RefusalBody.from_refusal(refusal)))
 
     def as_event(self, message: CallProgram, item: Tokens | Answer) -> bytes:
         """Pack tokens or the answer."""
--- a/pollenwalk/connection/peer.py
+++ b/pollenwalk/connection/peer.py
@@ -387,7 +387,7 @@
                 RefusalCode.PROTOCOL,
                 f'protocol {hello.protocol} is not {PROTOCOL_VERSION}',
             )
-            self.reply(writer, frame, RefusalBody.of(refusal))
+            self.reply(writer, frame, RefusalBody.from_refusal(refusal))
             return hello._replace(incarnation='')
         self.reply(writer, frame, Welcome(PROTOCOL_VERSION, self.boot))
         writer.put(Frame(frame.exchange, END_KIND, None))
@@ -406,18 +406,18 @@
         """Run the handler and send what it yields."""
         if hello.protocol != PROTOCOL_VERSION:
             refusal = Refusal(RefusalCode.PROTOCOL, 'protocol version differs')
-            self.reply(writer, frame, RefusalBody.of(refusal))
+            self.reply(writer, frame, RefusalBody.from_refusal(refusal))
             return
         try:
             async for message in self.handler(hello, frame.body):
                 self.reply(writer, frame, message)
         except PollenwalkError as error:
-            self.reply(writer, frame, RefusalBody.of(as_refusal(error)))
+            self.reply(writer, frame, RefusalBody.from_refusal(as_refusal(error)))
             return
         except Exception as error:  # noqa: BLE001
             # A defect must not leave the asker waiting for ever.
             logger.opt(exception=error).error('handler_failed', kind=frame.kind)
-            self.reply(writer, frame, RefusalBody.of(as_refusal(error)))
+            self.reply(writer, frame, RefusalBody.from_refusal(as_refusal(error)))
             return
         writer.put(Frame(frame.exchange, END_KIND, None))
 
--- a/pollenwalk/errors.py
+++ b/pollenwalk/errors.py
@@ -123,7 +123,7 @@
     retry_after_ms: int | None = None
 
     @classmethod
-    def of(cls, refusal: Refusal) -> 'RefusalBody':
+    def from_refusal(cls, refusal: Refusal) -> 'RefusalBody':
         """Take what has to travel."""
         return cls(
             str(refusal.code),
@@ -192,6 +192,6 @@
     code = 'fenced'
 
 
-def sealed() -> Fenced:
+def fenced_error() -> Fenced:
     """Send a caller's request on to the successor."""
     return Fenced('this home has a successor')
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -257,7 +257,7 @@
 
     async def run(self, call: Call, reply: Reply) -> None:
         """Run a call the way its route asks for."""
-        if call.route.streams:
+        if call.route.is_streaming:
             await run_stream(self.upstreams, call, self.turn_of(call), reply)
         else:
             await run_plain(self.upstreams, call, reply)
--- a/pollenwalk/process/home.py
+++ b/pollenwalk/process/home.py
@@ -17,7 +17,7 @@
     PollenwalkError,
     Refusal,
     RefusalCode,
-    sealed,
+    fenced_error,
 )
 from pollenwalk.process.beginnings import Beginnings
 from pollenwalk.process.ids import unknown_program
@@ -107,7 +107,7 @@
                 retry_after_ms=RETRY_AFTER_MS,
             )
         if self.parts.recorder.journal.fenced:
-            raise sealed()
+            raise fenced_error()
         if self.parts.recorder.journal.stalled:
             raise store_unavailable()
 
@@ -249,7 +249,7 @@
             call.refuse(error)
         finally:
             if not call.done.done():
-                call.refuse(cancelled(call) if live.ending else sealed())
+                call.refuse(cancelled(call) if live.ending else fenced_error())
             live.calls.pop(call.request.key, None)
             live.tasks.pop(call.request.key, None)
             live.last_used_ms = self.parts.clock.now_ms()
@@ -259,7 +259,7 @@
         """Let all calls go on at the successor: nothing counts here now."""
         for live in self.live.values():
             for call in list(live.calls.values()):
-                call.refuse(sealed())
+                call.refuse(fenced_error())
             for task in list(live.tasks.values()):
                 task.cancel()
 
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -124,7 +124,7 @@
             intent.upstream,
             intent.operation,
             answer,
-            RefusalBody.of(refusal) if refusal else None,
+            RefusalBody.from_refusal(refusal) if refusal else None,
             entries,
             0,
             live.program.budget.reserved,
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -277,7 +277,7 @@
             self.request.upstream,
             self.request.operation,
             answer,
-            RefusalBody.of(refusal) if refusal else None,
+            RefusalBody.from_refusal(refusal) if refusal else None,
             self.entries(answer),
             self.spent(answer),
             self.next_reserve(),
--- a/pollenwalk/version/routes.py
+++ b/pollenwalk/version/routes.py
@@ -62,7 +62,7 @@
         return self.kind == CallKind.SAFE
 
     @property
-    def streams(self) -> bool:
+    def is_streaming(self) -> bool:
         """Tell whether the answers are streams of events."""
         return self.kind == CallKind.STREAM
 
--- a/test/request/test_forwarding.py
+++ b/test/request/test_forwarding.py
@@ -202,7 +202,7 @@
     call = make_call(route)
     error = None
     try:
-        if route.streams:
+        if route.is_streaming:
             turn = UnboundTurn(call.request.body)
             await run_stream(upstreams, call, turn, reply)
         else:
