--- a/pollenwalk/program/__init__.py
+++ b/pollenwalk/program/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as one program, and may outlive a process."""
+"""State that belongs to one program and can outlive the process that holds it."""
--- a/pollenwalk/program/budget.py
+++ b/pollenwalk/program/budget.py
@@ -1,8 +1,9 @@
 """A program's token budget.
 
-Tokens are reserved in the journal before a model call starts, and the record
-of one call's end reserves for the next, so a turn costs one commit and a
-crash can only make a program poorer, never let it spend beyond its limit.
+Tokens are reserved in the journal before a model call starts. The record that
+finishes a call also makes the reservation for the next one, so each call costs
+one commit. After a crash an unused reservation counts as spent: a program may
+lose tokens, but can never spend more than its limit.
 """
 
 from typing import NamedTuple
@@ -11,13 +12,12 @@
 
 
 class Budget(NamedTuple):
-    """Tokens of one program.
-
+    """The token budget of one program.
     Attributes:
-        limit: what the program may spend in all.
-        spent: what finished calls and ended children have used.
-        reserved: set aside for the next call.
-        child_allocations: handed to children that still run.
+        limit: tokens that the program may spend in total.
+        spent: tokens used by finished calls and by ended child programs.
+        reserved: tokens reserved for the next call.
+        child_allocations: tokens allocated to child programs that still run.
     """
 
     limit: int
@@ -27,38 +27,42 @@
 
     @property
     def free(self) -> int:
-        """Give what is neither spent nor promised."""
+        """Return the tokens that are not spent, reserved or allocated."""
         return self.limit - self.spent - self.reserved - self.child_allocations
 
     @property
     def left(self) -> int:
-        """Give what a caller may still count on."""
+        """Return the tokens that the program's own calls may still spend."""
         return self.free + self.reserved
 
     def cap_reserve_ahead(self, amount: int) -> int:
-        """Bound what is reserved ahead, since a takeover forfeits it."""
+        """Limit an advance reservation to a tenth of the budget.
+
+        A takeover counts the reservation as spent, so a large one would
+        cost the program too much.
+        """
         return min(amount, self.limit // RESERVE_AHEAD_DIVISOR)
 
     def reserve(self, amount: int) -> 'Budget':
-        """Set the reservation to `amount`, as far as it goes."""
+        """Set the reservation to `amount`, or to all that is left if less."""
         return self._replace(reserved=min(amount, self.left))
 
     def settle(self, spent: int, next_reserve: int) -> 'Budget':
-        """Turn the reservation into what was spent and reserve anew."""
+        """Replace the reservation by the tokens spent and make the next one."""
         settled = self._replace(spent=self.spent + spent, reserved=0)
         return settled.reserve(next_reserve)
 
     def allocate_to_child(self, amount: int) -> 'Budget':
-        """Hand an amount to a child."""
+        """Allocate tokens to a child program."""
         return self._replace(child_allocations=self.child_allocations + amount)
 
     def reclaim_from_child(self, amount: int, spent: int) -> 'Budget':
-        """Take a child's share back, less what it spent."""
+        """Take back an ended child's allocation, less the tokens it spent."""
         return self._replace(
             child_allocations=self.child_allocations - amount,
             spent=self.spent + spent,
         )
 
     def forfeit(self) -> 'Budget':
-        """Count the reservation as spent: nobody knows whether it was."""
+        """Count the reservation as spent, as it is unknown whether it was used."""
         return self._replace(spent=self.spent + self.reserved, reserved=0)
--- a/pollenwalk/program/history.py
+++ b/pollenwalk/program/history.py
@@ -1,7 +1,8 @@
 """A program's history as a digest chain.
 
-Each entry's digest covers all entries before it, so two processes that agree
-on one digest agree on the whole history and none can be mixed in unseen.
+The digest of each item covers all items before it. Two processes that have the
+same digest therefore have the same history, and an item of another program
+can't get in unnoticed.
 """
 
 import hashlib
@@ -15,42 +16,47 @@
 EMPTY_DIGEST = ''
 
 
-def extend_digest(digest: str, entry: HistoryItem) -> str:
-    """Chain one more entry onto a digest."""
+def extend_digest(digest: str, item: HistoryItem) -> str:
+    """Return the digest of a history that is extended by one item."""
     hasher = hashlib.blake2b(digest.encode(), digest_size=DIGEST_BYTES)
-    hasher.update(entry.role.encode())
+    hasher.update(item.role.encode())
     hasher.update(b'\0')
-    hasher.update(entry.content.encode())
+    hasher.update(item.content.encode())
     return hasher.hexdigest()
 
 
 def digest_json(value: Any) -> str:
-    """Digest a JSON value, whatever the order of its keys."""
+    """Return the digest of a JSON value; the order of its keys has no effect."""
     text = json.dumps(value, sort_keys=True, separators=(',', ':'))
     return hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
 class History:
-    """Entries that are only ever appended."""
+    """The items of one program's history; they are only ever appended.
+
+    Attributes:
+        entries: the items, the oldest first.
+        digests: the digest before each item, then that of the whole history.
+    """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start with an empty history."""
         self.entries: list[HistoryItem] = []
         self.digests: list[str] = [EMPTY_DIGEST]
 
     @property
     def digest(self) -> str:
-        """Give the digest of the whole history."""
+        """Return the digest of the whole history."""
         return self.digests[-1]
 
-    def extend(self, entries: Iterable[HistoryItem]) -> None:
-        """Append entries."""
-        for entry in entries:
-            self.entries.append(entry)
-            self.digests.append(extend_digest(self.digest, entry))
+    def extend(self, items: Iterable[HistoryItem]) -> None:
+        """Append items."""
+        for item in items:
+            self.entries.append(item)
+            self.digests.append(extend_digest(self.digest, item))
 
     def since(self, digest: str) -> list[HistoryItem] | None:
-        """Give what follows a digest; None when it is none of ours."""
+        """Return the items after a digest; None if this history lacks it."""
         try:
             position = self.digests.index(digest)
         except ValueError:
@@ -59,12 +65,12 @@
 
 
 def estimate_tokens(text: str) -> int:
-    """Estimate the tokens of a text by its words."""
+    """Estimate the number of tokens of a text by counting its words."""
     return len(text.split())
 
 
 def chat_history_items(argument: dict[str, Any], answer: Answer) -> list[HistoryItem]:
-    """Give the entries that one model call adds."""
+    """Return the history items that a model call adds."""
     return [
         HistoryItem('user', str(argument.get('message', ''))),
         HistoryItem('assistant', str(answer.output.get('text', ''))),
@@ -76,7 +82,7 @@
     argument: dict[str, Any],
     answer: Answer,
 ) -> list[HistoryItem]:
-    """Give the entries that one call of a plain service adds."""
+    """Return the history items that a call to a plain service adds."""
     content = json.dumps(
         {'operation': operation, 'input': argument, 'output': answer.output},
         sort_keys=True,
