--- a/pollenwalk/process/sidecar_histories.py
+++ b/pollenwalk/process/sidecar_histories.py
@@ -39,13 +39,13 @@
             )
         self.histories[message.program] = history
         self.bound()
-        return list(history.entries)
+        return list(history.items)
 
     def cut(self, history: History, digest: str) -> History:
         """Give the history up to a digest."""
         position = history.digests.index(digest)
         shorter = History()
-        shorter.extend(history.entries[:position])
+        shorter.extend(history.items[:position])
         return shorter
 
     def extend(self, message: Dispatch, answer: Answer) -> None:
--- a/pollenwalk/program/history.py
+++ b/pollenwalk/program/history.py
@@ -35,13 +35,13 @@
     """The items of one program's history; they are only ever appended.
 
     Attributes:
-        entries: the items, the oldest first.
+        items: all items, the oldest first.
         digests: the digest before each item, then that of the whole history.
     """
 
     def __init__(self) -> None:
         """Start with an empty history."""
-        self.entries: list[HistoryItem] = []
+        self.items: list[HistoryItem] = []
         self.digests: list[str] = [EMPTY_DIGEST]
 
     @property
@@ -52,7 +52,7 @@
     def extend(self, items: Iterable[HistoryItem]) -> None:
         """Append items."""
         for item in items:
-            self.entries.append(item)
+            self.items.append(item)
             self.digests.append(extend_digest(self.digest, item))
 
     def since(self, digest: str) -> list[HistoryItem] | None:
@@ -61,7 +61,7 @@
             position = self.digests.index(digest)
         except ValueError:
             return None
-        return self.entries[position:]
+        return self.items[position:]
 
 
 def estimate_tokens(text: str) -> int:
--- a/pollenwalk/program/live.py
+++ b/pollenwalk/program/live.py
@@ -42,7 +42,7 @@
     @property
     def history_tokens(self) -> int:
         """Count the history's tokens, each entry once."""
-        entries = self.program.history.entries
+        entries = self.program.history.items
         fresh = entries[self.counted_items :]
         self.counted_tokens += sum(estimate_tokens(entry.content) for entry in fresh)
         self.counted_items = len(entries)
--- a/pollenwalk/program/program.py
+++ b/pollenwalk/program/program.py
@@ -89,7 +89,7 @@
             self.budget,
             self.next_sequence,
             self.ended,
-            list(self.history.entries),
+            list(self.history.items),
             list(self.finished.values()),
             list(self.intents.values()),
             list(self.engine_sidecars),
--- a/pollenwalk/program/view.py
+++ b/pollenwalk/program/view.py
@@ -33,7 +33,7 @@
         'calls': [view_finished(call) for call in program.finished.values()],
         'history': [
             {'role': entry.role, 'content': entry.content}
-            for entry in program.history.entries
+            for entry in program.history.items
         ],
     }
 
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -88,7 +88,7 @@
             self.program.id,
             self.parts.location.zone,
             self.parts.location.region,
-            prompt if history.entries else self.message_tokens,
+            prompt if history.items else self.message_tokens,
             self.live.cached_tokens,
             float(max_tokens) * self.spec.decode_ms,
             self.spec.prefill_ms,
@@ -129,7 +129,7 @@
         base = self.live.sidecar_digests.get(host.sidecar, EMPTY_DIGEST)
         delta = history.since(base) if model else []
         if delta is None:
-            base, delta = EMPTY_DIGEST, history.entries
+            base, delta = EMPTY_DIGEST, history.items
         return Dispatch(
             self.call.id,
             self.program.id,
--- a/pollenwalk/request/dispatch.py
+++ b/pollenwalk/request/dispatch.py
@@ -48,7 +48,7 @@
     """
     answer = await collect(connection.stream(message), call)
     if isinstance(answer, NeedHistory):
-        whole = message._replace(base=EMPTY_DIGEST, delta=live.program.history.entries)
+        whole = message._replace(base=EMPTY_DIGEST, delta=live.program.history.items)
         answer = await collect(connection.stream(whole), call)
     if not isinstance(answer, Answer):
         raise ConnectionLost('the sidecar ended without an answer')
