--- a/pollenwalk/program/budget.py
+++ b/pollenwalk/program/budget.py
@@ -13,6 +13,7 @@
 
 class Budget(NamedTuple):
     """The token budget of one program.
+
     Attributes:
         limit: tokens that the program may spend in total.
         spent: tokens used by finished calls and by ended child programs.
--- a/pollenwalk/program/ledger.py
+++ b/pollenwalk/program/ledger.py
@@ -1,8 +1,10 @@
-"""What the turns of programs have spent of their token budgets.
+"""Accounts of the tokens that the turns of programs reserve and spend.
 
-Every keeper counts a turn at its most from before it runs until it is
-settled. A gateway unites what a majority of the keepers know; any two
-majorities share a keeper, so of two turns at least one sees the other.
+A turn reserves the most tokens that it may generate before it runs. Every
+keeper counts this figure until the turn is settled with the tokens that it
+generated. A gateway merges the accounts of a majority of the keepers. Any two
+majorities have a keeper in common, so of any two turns at least one sees the
+other.
 """
 
 import itertools
@@ -19,65 +21,81 @@
 
 
 class Account:
-    """The tokens of one program."""
+    """The tokens reserved and spent by one program's turns.
+
+    Attributes:
+        entries: one for each turn, by the turn's id.
+        last_used_ms: when a turn was last reserved or settled, on the
+            process's clock.
+        retention_ms: the longest retention that any turn has asked for.
+    """
 
     def __init__(self) -> None:
-        """Start with nothing spent."""
+        """Start without turns."""
         self.entries: dict[str, TokenEntry] = {}
         self.last_used_ms = 0.0
         self.retention_ms = 0.0
 
 
 class Ledger:
-    """The accounts that one keeper holds."""
+    """The accounts that one keeper holds.
+
+    Attributes:
+        accounts: by program id.
+    """
 
     def __init__(self, clock: Clock) -> None:
-        """Start without accounts."""
+        """Start without accounts; `clock` tells when one was last used."""
         self.clock = clock
         self.accounts: dict[str, Account] = {}
 
-    def account(self, program: str, retention_ms: float) -> Account:
-        """Give a program's account, which counts as used."""
+    def touch_account(self, program: str, retention_ms: float) -> Account:
+        """Return a program's account and mark it as just used.
+
+        Args:
+            program: the program's id; an account is opened if it has none.
+            retention_ms: how long the account is needed after its last use.
+        """
         account = self.accounts.setdefault(program, Account())
         account.last_used_ms = self.clock.now_ms()
         account.retention_ms = max(account.retention_ms, retention_ms)
         return account
 
-    def reserve(self, asked: ReserveTokens) -> list[TokenEntry]:
-        """Count a turn at its most, unless it is known already.
+    def reserve(self, request: ReserveTokens) -> list[TokenEntry]:
+        """Reserve a turn's `max_tokens` unless the turn is already known.
 
         Returns:
-            All that is known of the program's turns, this one included.
+            The entries of all turns of the program, this one included.
         """
-        account = self.account(asked.program, asked.retention_ms)
-        entry = TokenEntry(asked.turn, asked.max_tokens, False)
-        account.entries.setdefault(asked.turn, entry)
+        account = self.touch_account(request.program, request.retention_ms)
+        entry = TokenEntry(request.turn, request.max_tokens, False)
+        account.entries.setdefault(request.turn, entry)
         return list(account.entries.values())
 
-    def settle(self, asked: SettleTokens) -> None:
-        """Count what a turn has shown."""
-        account = self.account(asked.program, asked.retention_ms)
-        account.entries[asked.turn] = TokenEntry(asked.turn, asked.tokens, True)
+    def settle(self, request: SettleTokens) -> None:
+        """Replace a turn's reservation by the tokens that it generated."""
+        account = self.touch_account(request.program, request.retention_ms)
+        account.entries[request.turn] = TokenEntry(request.turn, request.tokens, True)
 
     def expire(self) -> None:
-        """Drop the accounts whose time is over."""
+        """Remove the accounts whose retention has passed."""
         now_ms = self.clock.now_ms()
-        over = [
+        expired = [
             program
             for program, account in self.accounts.items()
             if account.last_used_ms + expiry_delay_ms(account.retention_ms) < now_ms
         ]
-        for program in over:
+        for program in expired:
             self.accounts.pop(program)
 
 
 class BudgetDecision(NamedTuple):
-    """What a turn's reservation comes to.
+    """How a turn's reservation compares with the program's budget.
 
     Attributes:
-        others: tokens of all other turns of the program.
-        unsettled: the part of them that counts at its most.
-        fits: whether the turn fits into the budget at its most.
+        others: tokens spent or reserved by all other turns of the program.
+        unsettled: the part of `others` that is only reserved.
+        fits: whether the budget covers `others` and the turn's `max_tokens`.
     """
 
     others: int
@@ -86,7 +104,7 @@
 
     @property
     def settled_tokens(self) -> int:
-        """Give the tokens of other turns that are over."""
+        """Return the tokens that other, settled turns have spent."""
         return self.others - self.unsettled
 
 
@@ -96,30 +114,32 @@
     max_tokens: int,
     budget: int,
 ) -> BudgetDecision:
-    """Unite what keepers know and hold a turn against the budget.
+    """Merge the keepers' entries and check a turn against the budget.
+
+    A settled entry takes precedence over a reserved one of the same turn.
 
     Args:
-        known: the entries that each keeper gave.
-        turn: the one that is to run.
-        max_tokens: the tokens that it may generate.
-        budget: of the whole program.
+        known: the entries that each keeper returned.
+        turn: id of the turn that is to run.
+        max_tokens: the most tokens that the turn may generate.
+        budget: tokens that all turns of the program may generate.
     """
-    united: dict[str, TokenEntry] = {}
+    merged: dict[str, TokenEntry] = {}
     for entry in itertools.chain.from_iterable(known):
-        if entry.settled or entry.turn not in united:
-            united[entry.turn] = entry
-    united.pop(turn, None)
-    others = sum(other.tokens for other in united.values())
-    unsettled = sum(other.tokens for other in united.values() if not other.settled)
+        if entry.settled or entry.turn not in merged:
+            merged[entry.turn] = entry
+    merged.pop(turn, None)
+    others = sum(other.tokens for other in merged.values())
+    unsettled = sum(other.tokens for other in merged.values() if not other.settled)
     return BudgetDecision(others, unsettled, others + max_tokens <= budget)
 
 
 class AnswerCount(NamedTuple):
-    """How many keepers have answered.
+    """How many keepers have answered a reservation.
 
     Attributes:
-        answers: of complete keepers, at least one.
-        keepers: all of them.
+        answers: answers of keepers whose records are complete; at least 1.
+        keepers: number of all keepers.
     """
 
     answers: int
@@ -127,17 +147,20 @@
 
     @property
     def is_majority(self) -> bool:
-        """Tell whether it is a majority."""
+        """Return whether a majority of the keepers has answered."""
         return self.answers > self.keepers // 2
 
     @property
     def disjoint_turns(self) -> int:
-        """Give how many turns can have heard as many and not of each other."""
+        """Return how many turns can have as many answers without a common keeper.
+
+        Such turns do not see each other.
+        """
         return self.keepers // self.answers
 
     @property
     def hidden_from_majority(self) -> int:
-        """Give how many of these turns a majority can know nothing of."""
+        """Return how many of these turns a majority of keepers may not know."""
         minority = (self.keepers - 1) // 2
         return minority // self.answers
 
@@ -145,19 +168,20 @@
 def fits_with_hidden_turns(
     decision: BudgetDecision, max_tokens: int, budget: int, answer_count: AnswerCount
 ) -> bool:
-    """Tell whether a turn may begin, whatever it can't have seen yet.
+    """Return whether a turn may begin, allowing for turns it has not seen yet.
 
-    Turns reserved at the same moment may have reached the keepers in different
-    orders. With a majority's answers, of any two turns at least one sees the
-    other; leaving as much free as is still unsettled makes up for those that
-    saw this turn first. With fewer answers only a turn that sees no other
-    begins, and only if at most one such turn can be hidden from a majority.
-    So a program never gets more than the most of one turn beyond its budget.
+    Turns that are reserved at the same moment may reach the keepers in
+    different orders. With answers of a majority, of any two turns at least one
+    sees the other. Headroom as large as the unsettled tokens makes up for the
+    turns that this one does not see because they saw it first. With fewer
+    answers a turn begins only if it sees no other unsettled turn, and only if
+    at most one such turn can be hidden from a majority. A program therefore
+    exceeds its budget by the `max_tokens` of at most one turn.
 
     Args:
-        decision: what the answers received so far add up to.
-        max_tokens: the tokens that the turn itself may generate.
-        budget: of the whole program.
+        decision: the comparison that the answers received so far give.
+        max_tokens: the most tokens that the turn itself may generate.
+        budget: tokens that all turns of the program may generate.
         answer_count: how many keepers have answered.
     """
     if answer_count.is_majority:
@@ -165,6 +189,7 @@
     elif decision.unsettled or answer_count.hidden_from_majority > 1:
         return False
     else:
-        # One of them may go beyond the budget.
+        # Counts the other turns that this one can't see, less the one turn
+        # that may exceed the budget.
         unseen = max(answer_count.disjoint_turns - 2, 0) * max_tokens
     return decision.others + max_tokens + unseen <= budget
