--- a/pollenwalk/process/keeper_group.py
+++ b/pollenwalk/process/keeper_group.py
@@ -118,7 +118,7 @@
         Raises:
             Refusal: it does not exist, or nobody can be certain.
         """
-        found = self.cache.chain(turn)
+        found = self.cache.use_chain(turn)
         turns = found.turns
         while found.missing:
             found = await self.find(found.missing)
--- a/pollenwalk/process/keeper_state.py
+++ b/pollenwalk/process/keeper_state.py
@@ -99,7 +99,7 @@
 
     def chain(self, turn: str) -> Chain:
         """Find a turn and those before it."""
-        return self.turns.chain(turn)._replace(complete=self.complete)
+        return self.turns.use_chain(turn)._replace(complete=self.complete)
 
     def account_records(self) -> Iterator[bytes]:
         """Encode all that is known of programs' tokens."""
--- a/pollenwalk/program/turn_index.py
+++ b/pollenwalk/program/turn_index.py
@@ -1,30 +1,32 @@
-"""Turns by their ids, with their chains, for as long as they are used."""
+"""An index of turns by id, from which unused turns expire."""
 
 from collections import OrderedDict
 
 from pollenwalk.process.clock import Clock
 from pollenwalk.program.turns import Chain, TurnRecord
 
-# A turn is kept longer than promised: clocks and the last use seen by other
-# keepers may differ by some seconds.
+# A turn is kept longer than its retention: the clocks of the keepers and the
+# times at which they last saw it used may differ by some seconds.
 RETENTION_FACTOR = 1.5
 RETENTION_MARGIN_MS = 30_000.0
 
 
 class TurnIndex:
-    """Records in the order of their last use.
+    """Turn records in the order of their last use.
 
     Attributes:
+        records: by turn id, the least recently used first.
         size_bytes: total size of all inputs and outputs.
+        last_used_ms: time of each turn's last use, by turn id.
     """
 
     def __init__(self, clock: Clock, max_bytes: int | None = None) -> None:
         """Start empty.
 
         Args:
-            clock: tells the time of the last use.
-            max_bytes: beyond which the least recently used turns go; None
-                to keep each for its time.
+            clock: the clock that last uses are measured on.
+            max_bytes: size of inputs and outputs above which the least
+                recently used turns are evicted; None for no limit.
         """
         self.clock = clock
         self.max_bytes = max_bytes
@@ -33,21 +35,21 @@
         self.last_used_ms: dict[str, float] = {}
 
     def put(self, record: TurnRecord) -> bool:
-        """Add a record; it and its chain count as used.
+        """Add a record and mark it and its chain as just used.
 
         Returns:
-            Whether it is new.
+            Whether the record was not in the index yet.
         """
         new = record.turn not in self.records
         if new:
             self.records[record.turn] = record
             self.size_bytes += record.size_bytes
-        self.chain(record.turn)
+        self.use_chain(record.turn)
         self.evict()
         return new
 
-    def chain(self, turn: str) -> Chain:
-        """Give a turn and those before it; all of them count as used."""
+    def use_chain(self, turn: str) -> Chain:
+        """Return a turn and its predecessors, and mark them as just used."""
         now_ms = self.clock.now_ms()
         found: list[TurnRecord] = []
         missing = turn
@@ -61,35 +63,35 @@
         return Chain(True, found, missing)
 
     def evict(self) -> None:
-        """Drop the least recently used turns beyond the room."""
+        """Remove the least recently used turns while the index is too large."""
         while self.max_bytes is not None and self.size_bytes > self.max_bytes:
-            self.drop(next(iter(self.records)))
+            self.remove(next(iter(self.records)))
 
     def expire(self) -> list[TurnRecord]:
-        """Drop the turns whose time is over, and give them."""
+        """Remove the turns whose retention has passed and return them."""
         now_ms = self.clock.now_ms()
-        over = [
+        expired = [
             record
             for record in self.records.values()
             if self.last_used_ms[record.turn] + expiry_delay_ms(record.retention_ms)
             < now_ms
         ]
-        for record in over:
-            self.drop(record.turn)
-        return over
+        for record in expired:
+            self.remove(record.turn)
+        return expired
 
-    def drop(self, turn: str) -> None:
-        """Forget a turn."""
+    def remove(self, turn: str) -> None:
+        """Remove a turn."""
         self.size_bytes -= self.records.pop(turn).size_bytes
         self.last_used_ms.pop(turn)
 
 
 def expiry_delay_ms(retention_ms: float) -> float:
-    """Give how long a record is really kept."""
+    """Return how long after its last use a record expires, in ms."""
     return retention_ms * RETENTION_FACTOR + RETENTION_MARGIN_MS
 
 
 def build_prompt(chain: list[TurnRecord], new_input: bytes) -> bytes:
-    """Put a prompt together: all that came before, then the new input."""
+    """Build a prompt: the inputs and outputs of a chain, then the new input."""
     parts = [part for record in chain for part in (record.input, record.output)]
     return b''.join((*parts, new_input))
--- a/pollenwalk/program/turns.py
+++ b/pollenwalk/program/turns.py
@@ -1,24 +1,25 @@
-"""The turns and spent tokens of programs, as keepers hold them.
+"""Messages and records of keepers: programs' turns and token accounts.
 
-Turns form a graph: several turns may continue from the same one. A record
-never changes once it is written, so any copy of it is right.
+Turns form a tree, as several turns may continue the same one. A turn record
+never changes once it is written, so every copy of it is current.
 """
 
 from typing import NamedTuple
 
 
 class TurnRecord(NamedTuple):
-    """A turn that was answered whole.
+    """A turn whose answer is complete.
 
     Attributes:
-        turn: the id of its request.
-        program: that it belongs to.
-        previous: the turn that it continues; empty at the start of a chain.
-        input: its new input.
-        output: the data of its events, each followed by a line feed.
-        tokens: that were generated.
-        retention_ms: how long it is kept after its last use.
-        replicas: the keepers that were asked to hold it.
+        turn: id of the turn, which is that of its request.
+        program: id of the program that the turn belongs to.
+        previous: id of the turn that it continues; empty for the first turn
+            of a chain.
+        input: the input that this turn added to the prompt.
+        output: the data of the answer's events, each followed by a line feed.
+        tokens: number of generated tokens.
+        retention_ms: how long the record is kept after its last use.
+        replicas: names of the keepers that were asked to keep a copy.
     """
 
     turn: str
@@ -32,12 +33,15 @@
 
     @property
     def size_bytes(self) -> int:
-        """Give the bytes that it adds to a prompt."""
+        """Return how many bytes the turn adds to a prompt."""
         return len(self.input) + len(self.output)
 
 
 class ReserveTokens(NamedTuple):
-    """Sets aside the most that a turn can generate."""
+    """Reserves the most tokens that a turn can generate.
+
+    `retention_ms` is how long the account is kept after its last use.
+    """
 
     program: str
     turn: str
@@ -46,7 +50,10 @@
 
 
 class SettleTokens(NamedTuple):
-    """Replaces what a turn has set aside by what it has shown."""
+    """Replaces a turn's reservation by the number of generated tokens.
+
+    `retention_ms` is how long the account is kept after its last use.
+    """
 
     program: str
     turn: str
@@ -55,23 +62,24 @@
 
 
 class Settlements(NamedTuple):
-    """What several turns have shown."""
+    """The settlements of several turns in one message."""
 
     settled: list[SettleTokens]
 
 
 class Stored(NamedTuple):
-    """A record is on a keeper's disk.
+    """Confirms that records are on a keeper's disk.
 
     Attributes:
-        complete: whether the keeper has all that it should have.
+        complete: whether the keeper can answer for the past: its records
+            were never lost, or were fetched again from other keepers.
     """
 
     complete: bool
 
 
 class TokenEntry(NamedTuple):
-    """What one turn counts for; the most of it until it is settled."""
+    """The tokens that count for one turn: its reservation until it is settled."""
 
     turn: str
     tokens: int
@@ -79,26 +87,33 @@
 
 
 class Spent(NamedTuple):
-    """All that a keeper knows of a program's tokens."""
+    """The entries of all turns of a program that a keeper knows.
+
+    Attributes:
+        complete: whether the keeper can answer for the past; see `Stored`.
+        entries: one for each turn.
+    """
 
     complete: bool
     entries: list[TokenEntry]
 
 
 class FindChain(NamedTuple):
-    """Asks for a turn and those before it."""
+    """Asks a keeper for a turn and its predecessors."""
 
     turn: str
 
 
 class Chain(NamedTuple):
-    """A turn and those before it, the oldest first.
+    """A turn and its predecessors, the oldest first.
 
     Attributes:
-        complete: whether the keeper has all that it should have.
-        turns: an unbroken part of the chain, up to the turn asked for.
-        missing: the turn before the oldest; empty at the chain's start. It
-            is the turn asked for where nothing was found.
+        complete: whether the keeper can answer for the past; see `Stored`.
+        turns: the chain without gaps, up to the requested turn; empty if the
+            keeper does not have that turn.
+        missing: id of the turn before the first of `turns`, which the keeper
+            does not have; empty if `turns` begins with the chain's first turn.
+            If `turns` is empty, the requested turn.
     """
 
     complete: bool
@@ -107,42 +122,47 @@
 
 
 class PullRecords(NamedTuple):
-    """Asks for all accounts, and for the turns with too few copies.
+    """Asks a keeper for all accounts and for the turns with too few copies.
 
     Attributes:
-        lost: keepers whose copies don't count.
+        lost: names of the keepers whose copies don't count.
     """
 
     lost: list[str]
 
 
 class FindMissing(NamedTuple):
-    """Asks which of some turns a keeper has not."""
+    """Asks a keeper which of the given turns it does not have."""
 
     turns: list[str]
 
 
 class Missing(NamedTuple):
-    """The turns that a keeper has not."""
+    """The requested turns that a keeper does not have."""
 
     turns: list[str]
 
 
 class RecordBatch(NamedTuple):
-    """Some encoded records."""
+    """A batch of encoded records; there may be more.
+
+    Attributes:
+        complete: whether the keeper can answer for the past; see `Stored`.
+        records: each in the form of a datagram.
+    """
 
     complete: bool
     records: list[bytes]
 
 
 class ReadPrefix(NamedTuple):
-    """Asks a keeper to list a prefix of the store for somebody cut off."""
+    """Asks a keeper to list a store prefix for a process that can't reach the store."""
 
     prefix: str
 
 
 class ListedObject(NamedTuple):
-    """One object of the store."""
+    """An object of the store, in a listing that a keeper sends on."""
 
     key: str
     body: bytes
@@ -150,13 +170,13 @@
 
 
 class Listing(NamedTuple):
-    """What a keeper has just read in the store."""
+    """The objects below a store prefix, as a keeper has just read them."""
 
     revision: int
     objects: list[ListedObject]
 
 
 class PushRecords(NamedTuple):
-    """Hands records to another keeper."""
+    """Sends encoded records for another keeper to keep."""
 
     records: list[bytes]
--- a/test/process/test_keepers.py
+++ b/test/process/test_keepers.py
@@ -129,7 +129,7 @@
 async def forget(group: KeeperGroup) -> None:
     """Make a gateway forget what it remembers."""
     for turn in list(group.cache.records):
-        group.cache.drop(turn)
+        group.cache.remove(turn)
 
 
 class CopiesTest(testtools.TestCase):
--- a/test/program/test_ledger.py
+++ b/test/program/test_ledger.py
@@ -122,8 +122,8 @@
             self.turn('d', 'c'),
         ):
             index.put(turn)
-        self.assertEqual(['a', 'b'], [one.turn for one in index.chain('b').turns])
-        chain = index.chain('d')
+        self.assertEqual(['a', 'b'], [one.turn for one in index.use_chain('b').turns])
+        chain = index.use_chain('d')
         self.assertEqual(['a', 'c', 'd'], [one.turn for one in chain.turns])
         self.assertEqual(b'aa!\ncc!\ndd!\nnew', build_prompt(chain.turns, b'new'))
 
@@ -131,9 +131,9 @@
     async def test_a_gap_is_named(self) -> None:
         index = TurnIndex(make_clock())
         index.put(self.turn('b', 'a'))
-        self.assertEqual('a', index.chain('b').missing)
-        self.assertEqual('x', index.chain('x').missing)
-        self.assertEqual([], index.chain('x').turns)
+        self.assertEqual('a', index.use_chain('b').missing)
+        self.assertEqual('x', index.use_chain('x').missing)
+        self.assertEqual([], index.use_chain('x').turns)
 
     @virtual
     async def test_use_keeps_the_whole_chain(self) -> None:
@@ -145,7 +145,7 @@
         index.put(self.turn('b', 'a'))
         await clock.sleep_ms(25_000)
         self.assertEqual(['x'], [one.turn for one in index.expire()])
-        self.assertEqual('', index.chain('b').missing)
+        self.assertEqual('', index.use_chain('b').missing)
 
     @virtual
     async def test_a_bounded_index_drops_the_oldest(self) -> None:
