--- a/pollenwalk/program/program.py
+++ b/pollenwalk/program/program.py
@@ -1,4 +1,4 @@
-"""The state of one program and how records change it."""
+"""The durable state of programs and how journal records change it."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -25,7 +25,10 @@
 
 
 class FinishedCall(NamedTuple):
-    """A kept answer."""
+    """An ended call whose answer or refusal is kept for repeats.
+
+    The fields are those of `Finished` with the same names.
+    """
 
     key: str
     sequence: int
@@ -37,7 +40,11 @@
 
 
 class ProgramState(NamedTuple):
-    """Everything of a program that a successor needs."""
+    """The state of a program as a snapshot stores it.
+
+    The fields are those of `Program` with the same names; `entries` are the
+    items of its history.
+    """
 
     declaration: str
     caller: str
@@ -55,14 +62,30 @@
 
 
 class Program:
-    """A program at its home.
+    """The durable state of one program at its owner.
 
-    A program is uncertain when its last records were lost with its home and
-    all witnesses: a call may have run that nobody remembers.
+    Attributes:
+        id: the program's id.
+        declaration: name of the declared program that it runs.
+        caller: the caller that began it.
+        key: the caller's idempotency key; empty if it gave none.
+        parent: id of the parent program; empty if it has none.
+        deadline_ms: time that the whole program may take.
+        budget: tokens that it has spent, reserved and left.
+        next_sequence: sequence number of the next call in order.
+        ended: whether the program has ended.
+        history: the items that its calls have added.
+        finished: ended calls, by the caller's key.
+        intents: non-idempotent calls that were handed to a sidecar, or were
+            about to be, and have not ended; by the caller's key.
+        engine_sidecars: addresses of the sidecars whose engines hold memory
+            for the program, as the keys of an ordered set.
+        uncertain: whether the last records were lost with the owner and all
+            its witnesses, so that a call may have run that is not recorded.
     """
 
     def __init__(self, program_id: str, begun: Begun) -> None:
-        """Start from the record of its beginning."""
+        """Start from the record with which the program began."""
         self.id = program_id
         self.declaration = begun.declaration
         self.caller = begun.caller
@@ -79,7 +102,7 @@
         self.uncertain = False
 
     def state(self) -> ProgramState:
-        """Take a snapshot."""
+        """Return the state for a snapshot."""
         return ProgramState(
             self.declaration,
             self.caller,
@@ -98,7 +121,7 @@
 
     @classmethod
     def restore(cls, program_id: str, state: ProgramState) -> 'Program':
-        """Rebuild a program from a snapshot."""
+        """Rebuild a program from a snapshot's state."""
         begun = Begun(
             program_id,
             state.declaration,
@@ -121,7 +144,7 @@
         return program
 
     def finish(self, record: Finished) -> None:
-        """Keep a final answer and move on in the order."""
+        """Keep a call's final answer or refusal and advance `next_sequence`."""
         self.intents.pop(record.key, None)
         self.finished[record.key] = FinishedCall(*record[1:8])
         self.next_sequence = max(self.next_sequence, record.sequence + 1)
@@ -132,7 +155,13 @@
 
 
 def snapshot_of(program: Program, origin: str = '') -> Snapshot:
-    """Make the record that replaces all earlier ones of a program."""
+    """Make the record that replaces all earlier ones of a program.
+
+    Args:
+        program: the program.
+        origin: the incarnation that it is taken over from; empty for the
+            owner's own program.
+    """
     return Snapshot(
         program.id,
         origin,
@@ -141,16 +170,23 @@
 
 
 class ProgramTable:
-    """All programs of one home, changed by records alone."""
+    """All programs of one owner; only records change them.
+
+    Attributes:
+        programs: by program id.
+        ids_by_key: program ids, by caller and the caller's key.
+        claims: ids of the programs that keys stand for, by caller and key;
+            a program may be at another owner.
+    """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start without programs."""
         self.programs: dict[str, Program] = {}
         self.ids_by_key: dict[tuple[str, str], str] = {}
         self.claims: dict[tuple[str, str], str] = {}
 
     def apply(self, record: Record) -> None:
-        """Change the state by one record; unknown programs are skipped."""
+        """Apply a record; those of unknown programs are ignored."""
         if isinstance(record, Begun):
             self.begin(record)
             return
@@ -166,27 +202,33 @@
             APPLIERS[type(record)](self, program, record)
 
     def begin(self, record: Begun) -> None:
-        """Add a program and carve its budget from its parent's."""
+        """Add a program and allocate its budget from its parent's."""
         parent = self.programs.get(record.parent)
         if parent is not None:
             parent.budget = parent.budget.allocate_to_child(record.limit)
         self.add(Program(record.program, record))
 
     def add(self, program: Program) -> None:
-        """File a program under its id and its key."""
+        """Add a program, or replace the one with the same id."""
         self.programs[program.id] = program
         if program.key:
             self.ids_by_key[program.caller, program.key] = program.id
 
     def merge(self, other: 'ProgramTable') -> None:
-        """Add all programs and settled keys of another home."""
+        """Add all programs and claims of another owner's table.
+
+        Claims that this table has already are kept.
+        """
         for program in other.programs.values():
             self.add(program)
-        for identity, program_id in other.claims.items():
-            self.claims.setdefault(identity, program_id)
+        for caller_key, program_id in other.claims.items():
+            self.claims.setdefault(caller_key, program_id)
 
     def end(self, program: Program) -> None:
-        """End a program and return what is left to its parent."""
+        """End a program and return its unspent tokens to its parent.
+
+        What is allocated to children that still run counts as spent.
+        """
         if program.ended:
             return
         program.ended = True
@@ -199,7 +241,7 @@
             )
 
     def remove(self, program: Program) -> None:
-        """Forget a program."""
+        """Remove a program."""
         self.programs.pop(program.id, None)
         self.ids_by_key.pop((program.caller, program.key), None)
 
--- a/pollenwalk/program/records.py
+++ b/pollenwalk/program/records.py
@@ -1,7 +1,8 @@
-"""The journal's records: every change of a program that must last.
+"""The journal's records: every change of a program's durable state.
 
-The same records drive the running home and a successor's replay, so there is
-one way in which a program's state can change.
+The owner applies a record once it is in the journal, and a successor applies
+the same records when it replays that journal. A program's durable state changes
+in no other way.
 """
 
 from typing import Any, NamedTuple
@@ -13,7 +14,18 @@
 
 
 class Begun(NamedTuple):
-    """A program began; `reserve` is set aside for its first call."""
+    """A program began.
+
+    Attributes:
+        program: id of the program.
+        declaration: name of the declared program that it runs.
+        caller: the caller that began it.
+        key: the caller's idempotency key; empty if it gave none.
+        parent: id of the parent program; empty if it has none.
+        limit: tokens that the program may spend in total.
+        reserve: tokens reserved for its first call.
+        deadline_ms: time that the whole program may take.
+    """
 
     program: str
     declaration: str
@@ -26,7 +38,7 @@
 
 
 class Claimed(NamedTuple):
-    """A caller's key has begun a program, here or at another home."""
+    """A caller's key stands for a program, which may be at another owner."""
 
     caller: str
     key: str
@@ -34,22 +46,35 @@
 
 
 class Reserved(NamedTuple):
-    """The reservation of a program's next call was set."""
+    """The reservation for a program's next call was set to `amount` tokens."""
 
     program: str
     amount: int
 
 
 class Forfeited(NamedTuple):
-    """An attempt was lost; its reservation counts as spent."""
+    """An attempt was lost or cut short; its reservation counts as spent."""
 
     program: str
 
 
 class Intended(NamedTuple):
-    """A non-idempotent call is about to be handed to a sidecar.
-
-    `incarnation` is the home that hands it over, `boot` the sidecar's start.
+    """The intent to hand a non-idempotent call to a sidecar.
+
+    It is durable before the call is handed over, so that a successor knows
+    which sidecar to ask whether the call ran.
+
+    Attributes:
+        program: id of the program.
+        key: the caller's key of the call.
+        sequence: place of the call in the program's order.
+        digest: identifies the request, to recognise a reused key.
+        upstream: name of the upstream.
+        operation: the upstream's operation.
+        argument: input of the operation.
+        address: address of the sidecar.
+        boot: id of the sidecar's start that is meant.
+        incarnation: id of the owner's start that hands the call over.
     """
 
     program: str
@@ -65,7 +90,7 @@
 
 
 class Withdrawn(NamedTuple):
-    """An intent was proven not to have run."""
+    """The call of an intent is proven not to have run."""
 
     program: str
     key: str
@@ -74,7 +99,20 @@
 class Finished(NamedTuple):
     """A call has its final answer or refusal.
 
-    `engine_sidecar` is the sidecar whose engine now holds memory for the program.
+    Attributes:
+        program: id of the program.
+        key: the caller's key of the call.
+        sequence: place of the call in the program's order.
+        digest: identifies the request, to recognise a reused key.
+        upstream: name of the upstream.
+        operation: the upstream's operation.
+        answer: None if the call was refused.
+        refusal: None if the call was answered.
+        entries: the items that the call adds to the program's history.
+        spent: tokens that the call spent.
+        reserve: tokens reserved for the program's next call.
+        engine_sidecar: address of the sidecar whose engine holds memory for
+            the program after a model call; empty after other calls.
     """
 
     program: str
@@ -98,16 +136,20 @@
 
 
 class Dropped(NamedTuple):
-    """An ended program's results have passed their retention."""
+    """An ended program was removed after its retention."""
 
     program: str
 
 
 class Snapshot(NamedTuple):
-    """The whole state of one program; replaces all before it.
-
-    A snapshot with an `origin` is part of a takeover and counts only once
-    the takeover's `Adopted` has followed.
+    """The whole state of one program, which replaces its earlier records.
+
+    Attributes:
+        program: id of the program.
+        origin: incarnation whose program is taken over. Such a snapshot
+            counts only once the takeover's `Adopted` has followed. Empty
+            for a snapshot of the owner's own program.
+        state: the fields of a `ProgramState`.
     """
 
     program: str
@@ -116,7 +158,7 @@
 
 
 class Adopted(NamedTuple):
-    """All programs of a sealed incarnation are now in this journal."""
+    """All programs of a sealed incarnation are in this journal now."""
 
     incarnation: str
 
@@ -153,7 +195,7 @@
 
 
 class RawRecord(NamedTuple):
-    """A record whose body is still encoded."""
+    """A record with its type name and its body, which is still encoded."""
 
     kind: str
     body: msgspec.Raw
@@ -168,17 +210,17 @@
 
 
 def encode_records(records: list[Record]) -> bytes:
-    """Pack records into a batch."""
+    """Encode records as a batch."""
     return ENCODER.encode(
         [(type(record).__name__, record) for record in records],
     )
 
 
 def decode_records(batch: bytes) -> list[Record]:
-    """Unpack a batch.
+    """Decode a batch.
 
     Raises:
-        msgspec.DecodeError: the batch is damaged.
+        msgspec.DecodeError: the batch is not a valid list of records.
     """
     return [
         BODY_DECODERS[raw.kind].decode(raw.body) for raw in RAW_DECODER.decode(batch)
