--- a/pollenwalk/program/live.py
+++ b/pollenwalk/program/live.py
@@ -1,4 +1,4 @@
-"""A program while its home runs: its lock, its calls and its order."""
+"""A program's state in memory at its owner: its lock and its calls in order."""
 
 import asyncio
 
@@ -9,20 +9,41 @@
 from pollenwalk.program.program import Program
 from pollenwalk.request.call import LiveCall
 
+# How long a call waits for an earlier call that has not arrived.
 GAP_WAIT_MS = 5000
 GAP_RETRY_MS = 1000
+# How far a call's sequence number may be ahead of the next call in order.
 MAX_SEQUENCES_AHEAD = 64
 
 
 class LiveProgram:
-    """What a home keeps for a program beside its durable state.
-
-    The lock is held from computing a record until it is applied, so records
-    of one program are computed on the state that they change.
+    """What an owner keeps for a program in addition to its durable state.
+
+    The lock is held from computing a record until it is applied, so that a
+    record is computed from the same state that it changes.
+
+    Attributes:
+        program: the durable state.
+        calls: calls that wait or run, by the caller's key.
+        tasks: the tasks of these calls, by the caller's key.
+        sidecar_digests: digest of the history that each sidecar has, by
+            sidecar.
+        cached_tokens: history tokens in the memory of each sidecar's engine,
+            by sidecar.
+        counted_items: history items that `counted_tokens` covers.
+        counted_tokens: estimated tokens of these items.
+        maybe_ran_keys: keys of repeatable calls of which an attempt may have
+            run, as the keys of an ordered set.
+        doubtful_sequence: sequence number of the first call after a takeover;
+            0 if there was none.
+        ending: whether the program is being ended.
+        begun_ms: when this owner began or took over the program.
+        last_used_ms: when a call last arrived or ended.
+        changed: set when a call ends or the program is to end.
     """
 
     def __init__(self, program: Program, clock: Clock) -> None:
-        """Start without calls."""
+        """Start without calls; times are read from `clock`."""
         self.program = program
         self.clock = clock
         self.lock = asyncio.Lock()
@@ -41,18 +62,18 @@
 
     @property
     def history_tokens(self) -> int:
-        """Count the history's tokens, each entry once."""
-        entries = self.program.history.items
-        fresh = entries[self.counted_items :]
-        self.counted_tokens += sum(estimate_tokens(entry.content) for entry in fresh)
-        self.counted_items = len(entries)
+        """Return the history's estimated tokens; each item is counted once."""
+        history_items = self.program.history.items
+        new_items = history_items[self.counted_items :]
+        self.counted_tokens += sum(estimate_tokens(item.content) for item in new_items)
+        self.counted_items = len(history_items)
         return self.counted_tokens
 
     def may_have_run(self, request: CallProgram) -> bool:
-        """Tell whether an earlier try of a repeatable call may have run.
+        """Return whether an earlier attempt of a repeatable call may have run.
 
-        A dead home records no try of such a call, so the first call after a
-        takeover is in doubt.
+        Attempts of such calls are not recorded, so after a takeover nobody
+        knows whether the dead owner had tried the first call.
         """
         return (
             request.key in self.maybe_ran_keys
@@ -60,21 +81,22 @@
         )
 
     def notify_waiting_calls(self) -> None:
-        """Wake the calls that wait for their turn."""
+        """Wake the calls that wait for earlier ones, so that they check again."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     def admit(self, request: CallProgram) -> None:
-        """Check that a new call has a place in the order.
+        """Check that a new call can take its place in the program's order.
 
         Raises:
-            Refusal: the place is taken, too far ahead, or the program ended.
+            Refusal: the program has ended or exceeded its deadline, or the
+                sequence number is taken or too far ahead.
         """
         program = self.program
         if program.ended or self.ending:
             raise Refusal(RefusalCode.PROGRAM_ENDED, 'the program has ended')
         if self.is_overdue():
-            raise Refusal(RefusalCode.DEADLINE, "the program's time is up")
+            raise Refusal(RefusalCode.DEADLINE, "the program's deadline has passed")
         if request.sequence < program.next_sequence or self.is_taken(request):
             raise Refusal(
                 RefusalCode.SEQUENCE_TAKEN,
@@ -84,31 +106,35 @@
             raise self.gap_refusal(request)
 
     def is_overdue(self) -> bool:
-        """Tell whether the program's time is up; a takeover starts it anew."""
+        """Return whether the deadline has passed; a takeover starts it again."""
         return self.clock.now_ms() - self.begun_ms > self.program.deadline_ms
 
     def is_taken(self, request: CallProgram) -> bool:
-        """Tell whether another call already waits at this place."""
+        """Return whether a call with the same sequence number waits or runs."""
         return any(
             call.request.sequence == request.sequence for call in self.calls.values()
         )
 
     def gap_refusal(self, request: CallProgram) -> Refusal:
-        """Describe a call whose forerunner has not come."""
-        lost = self.program.uncertain
+        """Make the refusal of a call whose predecessor has not arrived.
+
+        If the program's last records were lost, the call may have run.
+        """
+        may_have_run = self.program.uncertain
         return Refusal(
             RefusalCode.SEQUENCE_GAP,
             f'the next call is number {self.program.next_sequence}, '
             f'not {request.sequence}',
-            Outcome.UNKNOWN if lost else Outcome.NOT_RUN,
+            Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN,
             GAP_RETRY_MS,
         )
 
     async def wait_for_predecessors(self, call: LiveCall) -> None:
-        """Wait until all earlier calls have ended.
+        """Wait until all earlier calls of the program have ended.
 
         Raises:
-            Refusal: a forerunner did not come in time, or the program ended.
+            Refusal: an earlier call did not arrive within `GAP_WAIT_MS`, the
+                call's deadline has passed, or the program has ended.
         """
         gap_since_ms = self.clock.now_ms()
         while self.program.next_sequence != call.request.sequence:
@@ -122,14 +148,21 @@
         self.check_waiting(call)
 
     def check_waiting(self, call: LiveCall) -> None:
-        """Refuse a waiting call whose program ends or whose time is up."""
+        """Check that a waiting call may go on waiting.
+
+        Raises:
+            Refusal: the program has ended, or the call's deadline has passed.
+        """
         if self.ending or self.program.ended:
             raise Refusal(RefusalCode.PROGRAM_ENDED, 'the program has ended')
         if call.left_ms() <= 0:
-            raise Refusal(RefusalCode.DEADLINE, 'the deadline passed in order')
+            raise Refusal(
+                RefusalCode.DEADLINE,
+                'the deadline passed while waiting for earlier calls',
+            )
 
     def has_predecessor(self, call: LiveCall) -> bool:
-        """Tell whether the next call in order is here already."""
+        """Return whether the next call in order has arrived and is not `call`."""
         return any(
             other.request.sequence == self.program.next_sequence
             for other in self.calls.values()
@@ -137,7 +170,7 @@
         )
 
     async def wait_for_change(self, duration_ms: float) -> None:
-        """Wait for a change, at most so long."""
+        """Wait until `changed` is set, but no longer than `duration_ms`."""
         try:
             async with self.clock.timeout_ms(duration_ms):
                 await self.changed.wait()
--- a/pollenwalk/program/view.py
+++ b/pollenwalk/program/view.py
@@ -1,4 +1,4 @@
-"""Programs and calls as the callers' API shows them."""
+"""The JSON objects by which the callers' API shows programs and calls."""
 
 from typing import Any
 
@@ -8,12 +8,12 @@
 
 
 def view_program(program: Program, *, confirmed: bool = True) -> dict[str, Any]:
-    """Show a program's state, budget, calls and history.
+    """Return a program's state, budget, calls and history.
 
     Args:
         program: the program.
-        confirmed: whether the home has just proven that it has no successor;
-            otherwise there may be later changes.
+        confirmed: whether the owner has just proven that it has no successor;
+            otherwise a successor may have changed the program.
 
     Returns:
         The JSON object.
@@ -32,14 +32,14 @@
         },
         'calls': [view_finished(call) for call in program.finished.values()],
         'history': [
-            {'role': entry.role, 'content': entry.content}
-            for entry in program.history.items
+            {'role': item.role, 'content': item.content}
+            for item in program.history.items
         ],
     }
 
 
 def view_finished(call: FinishedCall) -> dict[str, Any]:
-    """Show an ended call without its answer."""
+    """Return an ended call without its answer, as a JSON object."""
     return {
         'key': call.key,
         'sequence': call.sequence,
@@ -51,7 +51,14 @@
 
 
 def view_call(live: LiveProgram, key: str) -> dict[str, Any]:
-    """Show one call with its whole answer, or its state.
+    """Return an ended call with its answer, or the state of a running one.
+
+    Args:
+        live: the program.
+        key: the caller's key of the call.
+
+    Returns:
+        The JSON object.
 
     Raises:
         Refusal: the program has no call with this key.
@@ -71,7 +78,7 @@
 
 
 def view_answer(finished: FinishedCall) -> dict[str, Any]:
-    """Show an ended call with its answer or refusal."""
+    """Return an ended call with its answer or refusal, as a JSON object."""
     body = {**view_finished(finished), 'state': 'done'}
     if finished.answer is not None:
         body['output'] = finished.answer.output
@@ -82,7 +89,7 @@
 
 
 def problem_document(refusal: RefusalBody) -> dict[str, Any]:
-    """Show a refusal as a problem document."""
+    """Return a refusal as a problem document without the HTTP status."""
     return {
         'title': refusal.message,
         'code': refusal.code,
