--- a/pollenwalk/process/keeper_group.py
+++ b/pollenwalk/process/keeper_group.py
@@ -91,7 +91,7 @@
         """
         links = [link for link in self.links.ordered() if not link.member.retiring]
         names = [link.member.name for link in links[: self.copies]]
-        held = record._replace(holders=names)
+        held = record._replace(replicas=names)
         await Copies(self.links, held, links, self.copies).make()
         self.cache.put(held)
         return names
@@ -118,7 +118,7 @@
         Raises:
             Refusal: it does not exist, or nobody can be certain.
         """
-        found = self.cache.chain(turn)
+        found = self.cache.use_chain(turn)
         turns = found.turns
         while found.missing:
             found = await self.find(found.missing)
--- a/pollenwalk/process/owner_interface.py
+++ b/pollenwalk/process/owner_interface.py
@@ -5,7 +5,7 @@
 
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.program.live import LiveCall, LiveProgram
-from pollenwalk.program.program import Program, ProgramBook
+from pollenwalk.program.program import Program, ProgramTable
 from pollenwalk.request.entry_context import EntryContext
 
 
@@ -14,13 +14,13 @@
 
     Attributes:
         context: what all calls of the entry share.
-        book: the programs.
+        table: the programs.
         tasks: the background work.
         live: the programs that are at work.
     """
 
     context: EntryContext
-    book: ProgramBook
+    table: ProgramTable
     tasks: TaskSet
     live: dict[str, LiveProgram]
 
--- a/pollenwalk/request/call_sender.py
+++ b/pollenwalk/request/call_sender.py
@@ -11,14 +11,8 @@
 from loguru import logger
 
 from pollenwalk.connection.link_pool import LinkPool
-from pollenwalk.errors import (
-    BrokenAnswer,
-    NotSent,
-    Outcome,
-    Refusal,
-    RefusalCode,
-)
-from pollenwalk.platform.headers import resume_header, sent_headers
+from pollenwalk.errors import BrokenAnswer, NotSent, Outcome, Refusal, RefusalCode
+from pollenwalk.platform.headers import added_headers, resume_header
 from pollenwalk.policy.host_choice import CallCost
 from pollenwalk.policy.program_admission import is_wait_acceptable, retry_delay_ms
 from pollenwalk.process.clock import Clock
@@ -232,7 +226,7 @@
     def headers(self, state: HostState, last_event: str) -> Headers:
         """Write the headers for one host."""
         remaining_ms = self.call.remaining_ms(self.context.clock.now_ms())
-        added = sent_headers(state.listed.id, remaining_ms, None)
+        added = added_headers(state.listed.id, remaining_ms, None)
         given = self.call.request.headers
         if last_event:
             resume = resume_header(last_event)
--- a/test/program/test_budget_rounds.py
+++ b/test/program/test_budget_rounds.py
@@ -12,11 +12,16 @@
 
 import testtools
 
-from pollenwalk.program.ledger import Heard, Verdict, fits_unseen, judge
+from pollenwalk.program.ledger import (
+    AnswerCount,
+    BudgetDecision,
+    decide_reservation,
+    fits_with_hidden_turns,
+)
 from pollenwalk.program.turns import TokenEntry
 
 Step = tuple[int, int]
-Rule = Callable[[Verdict, int, int, Heard], bool]
+Rule = Callable[[BudgetDecision, int, int, AnswerCount], bool]
 ROUNDS = 2
 # Steps that the search tries from each order that it draws.
 CLIMB = 150
@@ -27,15 +32,15 @@
 
     Attributes:
         keepers: how many there are.
-        most: tokens of each turn.
+        max_tokens: of each turn.
         budget: of the program.
         rule: tells whether a turn may begin in its first round.
     """
 
     keepers: int
-    most: list[int]
+    max_tokens: list[int]
     budget: int
-    rule: Rule = fits_unseen
+    rule: Rule = fits_with_hidden_turns
 
 
 class ModelTurn:
@@ -68,11 +73,11 @@
     def judge_first_round(self) -> None:
         """Begin with room to spare, or ask again."""
         game = self.game
-        most = game.most[self.number]
+        max_tokens = game.max_tokens[self.number]
         known = list(self.heard.values())
-        verdict = judge(known, str(self.number), most, game.budget)
-        heard = Heard(len(known), game.keepers)
-        if game.rule(verdict, most, game.budget, heard):
+        decision = decide_reservation(known, str(self.number), max_tokens, game.budget)
+        heard = AnswerCount(len(known), game.keepers)
+        if game.rule(decision, max_tokens, game.budget, heard):
             self.runs = True
         elif self.decided:
             self.earlier = known
@@ -83,26 +88,28 @@
         if not self.decided:
             return
         known = [*self.earlier, *self.heard.values()]
-        most = self.game.most[self.number]
-        self.runs = judge(known, str(self.number), most, self.game.budget).fits
+        max_tokens = self.game.max_tokens[self.number]
+        self.runs = decide_reservation(
+            known, str(self.number), max_tokens, self.game.budget
+        ).fits
         self.over = not self.runs
 
 
 def running(game: Game, order: list[Step]) -> int:
     """Play an order of answers; give the tokens of the turns that run."""
-    turns = [ModelTurn(game, number) for number in range(len(game.most))]
+    turns = [ModelTurn(game, number) for number in range(len(game.max_tokens))]
     held: list[list[TokenEntry]] = [[] for _ in range(game.keepers)]
     for number, keeper in order:
-        entry = TokenEntry(str(number), game.most[number], False)
+        entry = TokenEntry(str(number), game.max_tokens[number], False)
         if entry not in held[keeper]:
             held[keeper].append(entry)
         turns[number].hear(keeper, list(held[keeper]))
-    return sum(game.most[turn.number] for turn in turns if turn.runs)
+    return sum(game.max_tokens[turn.number] for turn in turns if turn.runs)
 
 
 def steps(game: Game) -> list[Step]:
     """Give every answer of two rounds."""
-    pairs = itertools.product(range(len(game.most)), range(game.keepers))
+    pairs = itertools.product(range(len(game.max_tokens)), range(game.keepers))
     return list(pairs) * ROUNDS
 
 
@@ -119,34 +126,38 @@
     """Search for an order in which much runs; give the tokens."""
     order = steps(game)
     rng.shuffle(order)
-    most = running(game, order)
+    highest = running(game, order)
     for _ in range(CLIMB):
         other = next(neighbours(order, rng))
         found = running(game, other)
-        if found >= most:
-            most = found
+        if found >= highest:
+            highest = found
             order = other
-    return most
+    return highest
 
 
 def games(rng: random.Random, count: int, rule: Rule) -> Iterator[Game]:
     """Draw sizes, turns and budgets."""
     for _ in range(count):
-        most = [rng.randint(1, 3) for _ in range(rng.randint(2, 11))]
+        max_tokens = [rng.randint(1, 3) for _ in range(rng.randint(2, 11))]
         if rng.random() < 0.5:
-            most = [1 for _ in most]
-        budget = rng.randint(1, sum(most))
-        yield Game(rng.choice((2, 3, 3, 5, 8)), most, budget, rule)
+            max_tokens = [1 for _ in max_tokens]
+        budget = rng.randint(1, sum(max_tokens))
+        yield Game(rng.choice((2, 3, 3, 5, 8)), max_tokens, budget, rule)
 
 
-def four_turns_of_room(verdict: Verdict, most: int, budget: int, _: Heard) -> bool:
+def four_turns_of_room(
+    decision: BudgetDecision, max_tokens: int, budget: int, _: AnswerCount
+) -> bool:
     """Begin as the rule before this one allowed."""
-    return verdict.others + 5 * most <= budget
+    return decision.others + 5 * max_tokens <= budget
 
 
-def no_room(verdict: Verdict, _most: int, _budget: int, _heard: Heard) -> bool:
+def no_room(
+    decision: BudgetDecision, _max_tokens: int, _budget: int, _heard: AnswerCount
+) -> bool:
     """Begin whenever the turn itself fits."""
-    return verdict.fits
+    return decision.fits
 
 
 class BudgetRoundsTest(testtools.TestCase):
@@ -156,13 +167,13 @@
         """Give by how much the worst order found goes beyond what is allowed."""
         rng = random.Random(seed)
         return max(
-            worst(game, rng) - game.budget - max(game.most)
+            worst(game, rng) - game.budget - max(game.max_tokens)
             for game in games(rng, count, rule)
         )
 
     def test_searched_orders_stay_within_the_bound(self) -> None:
         for seed in (1, 2, 3):
-            self.assertTrue(self.excess(seed, 25, fits_unseen) <= 0, seed)
+            self.assertTrue(self.excess(seed, 25, fits_with_hidden_turns) <= 0, seed)
 
     def test_four_turns_of_room_are_not_enough(self) -> None:
         """The rule before: the search finds orders that it lets through."""
@@ -178,14 +189,14 @@
             self.assertTrue(max(running(game, list(one)) for one in orders) <= 2)
 
     def test_a_lone_turn_needs_no_second_round(self) -> None:
-        alone = Verdict(0, 0, True)
-        for heard in (Heard(2, 3), Heard(5, 8), Heard(4, 8)):
-            self.assertTrue(fits_unseen(alone, 10, 10, heard), heard)
-        self.assertFalse(fits_unseen(alone, 10, 19, Heard(1, 3)))
-        self.assertTrue(fits_unseen(alone, 10, 20, Heard(1, 3)))
+        alone = BudgetDecision(0, 0, True)
+        for heard in (AnswerCount(2, 3), AnswerCount(5, 8), AnswerCount(4, 8)):
+            self.assertTrue(fits_with_hidden_turns(alone, 10, 10, heard), heard)
+        self.assertFalse(fits_with_hidden_turns(alone, 10, 19, AnswerCount(1, 3)))
+        self.assertTrue(fits_with_hidden_turns(alone, 10, 20, AnswerCount(1, 3)))
 
     def test_a_turn_beside_others_needs_a_majority(self) -> None:
-        beside = Verdict(10, 10, True)
-        self.assertFalse(fits_unseen(beside, 10, 1000, Heard(1, 3)))
-        self.assertFalse(fits_unseen(beside, 10, 29, Heard(2, 3)))
-        self.assertTrue(fits_unseen(beside, 10, 30, Heard(2, 3)))
+        beside = BudgetDecision(10, 10, True)
+        self.assertFalse(fits_with_hidden_turns(beside, 10, 1000, AnswerCount(1, 3)))
+        self.assertFalse(fits_with_hidden_turns(beside, 10, 29, AnswerCount(2, 3)))
+        self.assertTrue(fits_with_hidden_turns(beside, 10, 30, AnswerCount(2, 3)))
