--- a/pollenwalk/connection/http_api.py
+++ b/pollenwalk/connection/http_api.py
@@ -2,37 +2,39 @@
 
 from collections.abc import AsyncIterator
 from http import HTTPStatus
-from typing import Any, NotRequired, TypedDict
-
-import msgspec
 from loguru import logger
-from starlette.applications import Starlette
-from starlette.middleware import Middleware
-from starlette.requests import ClientDisconnect, Request
-from starlette.responses import JSONResponse, Response, StreamingResponse
-from starlette.routing import Route
-from starlette.types import ASGIApp, Receive, Scope, Send
-
-from pollenwalk.connection.wire import (
-    Answer,
-    BeginProgram,
-    CallProgram,
-    EndProgram,
-    Tokens,
-    ViewCall,
-    ViewProgram,
-)
-from pollenwalk.errors import (
-    PollenwalkError,
-    Refusal,
-    RefusalBody,
-    RefusalCode,
-)
+from pollenwalk.connection.wire import Answer
+from pollenwalk.connection.wire import BeginProgram
+from pollenwalk.connection.wire import CallProgram
+from pollenwalk.connection.wire import EndProgram
+from pollenwalk.connection.wire import Tokens
+from pollenwalk.connection.wire import ViewCall
+from pollenwalk.connection.wire import ViewProgram
+from pollenwalk.errors import PollenwalkError
+from pollenwalk.errors import Refusal
+from pollenwalk.errors import RefusalBody
+from pollenwalk.errors import RefusalCode
 from pollenwalk.process.entry import Entry
 from pollenwalk.process.metrics import EntryMetrics
 from pollenwalk.process.trace_header import TRACE_HEADER
-from pollenwalk.program.view import problem
+from pollenwalk.program.view import problem_document
 from pollenwalk.version.resources import ProgramSpec
+from starlette.applications import Starlette
+from starlette.middleware import Middleware
+from starlette.requests import ClientDisconnect
+from starlette.requests import Request
+from starlette.responses import JSONResponse
+from starlette.responses import Response
+from starlette.responses import StreamingResponse
+from starlette.routing import Route
+from starlette.types import ASGIApp
+from starlette.types import Receive
+from starlette.types import Scope
+from starlette.types import Send
+from typing import Any
+from typing import NotRequired
+from typing import TypedDict
+import msgspec
 
 MAX_BODY_BYTES = 1_000_000
 MAX_HEADER_BYTES = 16_384
@@ -94,7 +96,10 @@
         seconds = -(-refusal.retry_after_ms // MS_PER_SECOND)
         headers['Retry-After'] = str(seconds)
     status = STATUSES.get(refusal.code, HTTPStatus.SERVICE_UNAVAILABLE)
-    body = {'status': int(status), **problem(RefusalBody.of(refusal))}
+    body = {
+        'status': int(status),
+        **problem_document(RefusalBody.from_refusal(refusal)),
+    }
     return JSONResponse(
         body,
         status_code=status,
@@ -312,7 +317,7 @@
             refusal = error
             if not isinstance(refusal, Refusal):
                 refusal = Refusal(RefusalCode.OUTCOME_UNKNOWN, str(error))
-            yield event('error', problem(RefusalBody.of(refusal)))
+            yield event('error', problem_document(RefusalBody.from_refusal(refusal)))
 
     def as_event(self, message: CallProgram, item: Tokens | Answer) -> bytes:
         """Pack tokens or the answer."""
--- a/pollenwalk/process/acceptance.py
+++ b/pollenwalk/process/acceptance.py
@@ -7,27 +7,25 @@
 """
 
 from collections.abc import Callable
-from typing import Any, NamedTuple
-
-import msgspec
 from loguru import logger
-
-from pollenwalk.errors import StoreConflict, StoreUnavailable
+from pollenwalk.errors import StoreConflict
+from pollenwalk.errors import StoreUnavailable
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.following import follow
-from pollenwalk.process.store import ABSENT, ObjectStore, StoredObject
-from pollenwalk.version.config import (
-    Accepted,
-    Configuration,
-    dangling,
-    spec_to_json,
-)
+from pollenwalk.process.store import ABSENT
+from pollenwalk.process.store import ObjectStore
+from pollenwalk.process.store import StoredObject
+from pollenwalk.version.config import Accepted
+from pollenwalk.version.config import Configuration
+from pollenwalk.version.config import spec_to_json
+from pollenwalk.version.config import undeclared_references
 from pollenwalk.version.fields import InvalidFile
-from pollenwalk.version.resources import (
-    Kind,
-    ResourceId,
-    parse_section,
-)
+from pollenwalk.version.resources import Kind
+from pollenwalk.version.resources import ResourceId
+from pollenwalk.version.resources import parse_section
+from typing import Any
+from typing import NamedTuple
+import msgspec
 
 DESIRED_PREFIX = 'resources/'
 STATUS_PREFIX = 'accepted/'
@@ -262,7 +260,7 @@
         problems, resource = parse_section(section, desired.keys, stored.key)
         if resource is None:
             return None, InvalidFile(problems).message
-        undeclared = dangling(resource, self.config)
+        undeclared = undeclared_references(resource, self.config)
         if undeclared:
             return None, '; '.join(undeclared)
         return spec_to_json(resource.spec), ''
--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -14,10 +14,7 @@
     decode_datagram,
     encode_datagram,
 )
-from pollenwalk.errors import (
-    Refusal,
-    StoreUnavailable,
-)
+from pollenwalk.errors import Refusal, StoreUnavailable
 from pollenwalk.policy.placement import ExpectedFinish, Placement
 from pollenwalk.process.acceptance import AcceptanceController
 from pollenwalk.process.adoption import Adoption
@@ -46,7 +43,7 @@
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.process.traces import Tracer
 from pollenwalk.process.witness import WitnessLog
-from pollenwalk.program.program import ProgramBook
+from pollenwalk.program.program import ProgramTable
 from pollenwalk.request.entry_context import EntryContext
 from pollenwalk.request.retry import RetryBudgets
 from pollenwalk.request.routing import Routing
@@ -164,8 +161,8 @@
         )
         self.journal.peers = self.peers.at
         self.journal.on_fenced = self.fenced
-        book = ProgramBook()
-        recorder = Recorder(self.journal, book, self.clock, self.owner_tasks)
+        table = ProgramTable()
+        recorder = Recorder(self.journal, table, self.clock, self.owner_tasks)
         context = EntryContext(
             self.incarnation,
             self.clock,
@@ -179,7 +176,7 @@
             recorder,
             self.tracer,
         )
-        self.owner = ProgramOwner(context, book, self.owner_tasks)
+        self.owner = ProgramOwner(context, table, self.owner_tasks)
         self.compaction = Compaction(self.owner, self.store)
         self.takeover = Takeover(
             self.store,
--- a/pollenwalk/process/metrics.py
+++ b/pollenwalk/process/metrics.py
@@ -1,13 +1,15 @@
 """The metrics of an entry; the names contain the units."""
 
-import contextlib
-import time
+from aioprometheus import Counter
+from aioprometheus import Gauge
+from aioprometheus import Registry
+from aioprometheus import Summary
+from aioprometheus import render
 from collections.abc import Iterator
-
-from aioprometheus import Counter, Gauge, Registry, Summary, render
-
 from pollenwalk.errors import Refusal
 from pollenwalk.process.entry_interface import EntryInterface
+import contextlib
+import time
 
 
 class EntryMetrics:
@@ -75,11 +77,11 @@
         Returns:
             The metrics in the Prometheus text format, and their content type.
         """
-        self.programs.set({}, len(entry.owner.book.programs))
+        self.programs.set({}, len(entry.owner.table.programs))
         self.pending.set({}, len(entry.journal.pending))
         self.segments.set({}, entry.journal.segments_written)
         self.hosts.set({}, len(entry.fleet.hosts))
         self.forwarded.set({}, entry.routing.forwarded)
-        self.version.set({}, entry.config.newest())
+        self.version.set({}, entry.config.highest_version())
         body, headers = render(self.registry, ['text/plain'])
         return body, headers['Content-Type']
--- a/pollenwalk/process/program_owner.py
+++ b/pollenwalk/process/program_owner.py
@@ -7,17 +7,13 @@
 from collections.abc import AsyncIterator, Coroutine, Iterator
 from typing import Any
 
-from pollenwalk.connection.wire import (
-    Answer,
-    CallProgram,
-    Tokens,
-)
+from pollenwalk.connection.wire import Answer, CallProgram, Tokens
 from pollenwalk.errors import (
     Outcome,
     PollenwalkError,
     Refusal,
     RefusalCode,
-    sealed,
+    fenced_error,
 )
 from pollenwalk.process.beginnings import Beginnings
 from pollenwalk.process.ids import unknown_program
@@ -26,12 +22,8 @@
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.process.upkeep import Upkeep
 from pollenwalk.program.live import LiveProgram
-from pollenwalk.program.program import FinishedCall, Program, ProgramBook
-from pollenwalk.program.records import (
-    Ended,
-    Forfeited,
-    Record,
-)
+from pollenwalk.program.program import FinishedCall, Program, ProgramTable
+from pollenwalk.program.records import Ended, Forfeited, Record
 from pollenwalk.request.call import LiveCall, check_request
 from pollenwalk.request.entry_context import EntryContext
 from pollenwalk.request.execution import Execution, doubted
@@ -59,11 +51,11 @@
     """All programs of one incarnation."""
 
     def __init__(
-        self, context: EntryContext, book: ProgramBook, tasks: TaskSet
+        self, context: EntryContext, table: ProgramTable, tasks: TaskSet
     ) -> None:
-        """Start with the programs in `book`."""
+        """Start with the programs in `table`."""
         self.context = context
-        self.book = book
+        self.table = table
         self.tasks = tasks
         self.live: dict[str, LiveProgram] = {}
         self.stopping = False
@@ -93,7 +85,7 @@
         Raises:
             Refusal: there is no such program.
         """
-        program = self.book.programs.get(program_id)
+        program = self.table.programs.get(program_id)
         if program is None:
             raise unknown_program(program_id)
         live = self.live.get(program_id)
@@ -111,7 +103,7 @@
                 retry_after_ms=RETRY_AFTER_MS,
             )
         if self.context.recorder.journal.fenced:
-            raise sealed()
+            raise fenced_error()
         if self.context.recorder.journal.stalled:
             raise store_unavailable()
 
@@ -167,7 +159,7 @@
     async def answer(self, request: CallProgram) -> AsyncIterator[Tokens | Answer]:
         """Find or start a call and follow it to its end."""
         live = self.find(request.program)
-        live.used_ms = self.context.clock.now_ms()
+        live.last_used_ms = self.context.clock.now_ms()
         call = self.attach(live, request)
         if isinstance(call, FinishedCall):
             finished = call
@@ -247,23 +239,23 @@
     async def run(self, live: LiveProgram, call: LiveCall) -> None:
         """Run one call from its place in the order to its end."""
         try:
-            await live.take_turn(call)
+            await live.wait_for_predecessors(call)
             call.finish(await Execution(self.context, live, call).run())
         except PollenwalkError as error:
             call.refuse(error)
         finally:
             if not call.done.done():
-                call.refuse(cancelled(call) if live.ending else sealed())
+                call.refuse(cancelled(call) if live.ending else fenced_error())
             live.calls.pop(call.request.key, None)
             live.tasks.pop(call.request.key, None)
-            live.used_ms = self.context.clock.now_ms()
-            live.notify()
+            live.last_used_ms = self.context.clock.now_ms()
+            live.notify_waiting_calls()
 
     def abandon(self) -> None:
         """Let all calls go on at the successor: nothing counts here now."""
         for live in self.live.values():
             for call in list(live.calls.values()):
-                call.refuse(sealed())
+                call.refuse(fenced_error())
             for task in list(live.tasks.values()):
                 task.cancel()
 
@@ -276,7 +268,7 @@
         if live.program.ended:
             return live.program
         live.ending = True
-        live.notify()
+        live.notify_waiting_calls()
         for child in self.children(program_id):
             await self.end(child.id)
         cut_short = any(call.running for call in live.calls.values())
@@ -292,7 +284,7 @@
         """Give the sub-agents of a program that still run."""
         return [
             program
-            for program in self.book.programs.values()
+            for program in self.table.programs.values()
             if program.parent == program_id and not program.ended
         ]
 
@@ -302,7 +294,7 @@
             if key not in live.program.intents:
                 task.cancel()
         while live.calls:
-            await live.wait_change(STOP_CHECK_MS)
+            await live.wait_for_change(STOP_CHECK_MS)
 
 
 def replayed_tokens(finished: FinishedCall, offset: int) -> Iterator[Tokens]:
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -11,7 +11,7 @@
     RefusalCode,
 )
 from pollenwalk.process.owner_interface import OwnerInterface
-from pollenwalk.program.history import plain_entries
+from pollenwalk.program.history import service_history_items
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.program.program import Program
 from pollenwalk.program.records import Finished, Intended, Withdrawn
@@ -33,7 +33,7 @@
         """Find out what became of the intents of adopted programs."""
         for program in programs:
             live = self.owner.find(program.id)
-            live.doubtful = program.next_sequence
+            live.doubtful_sequence = program.next_sequence
             for intent in list(program.intents.values()):
                 call = LiveCall(request_of(intent), self.context.clock)
                 live.calls[intent.key] = call
@@ -73,7 +73,7 @@
         finally:
             live.calls.pop(intent.key, None)
             live.tasks.pop(intent.key, None)
-            live.notify()
+            live.notify_waiting_calls()
 
     async def withdraw(
         self,
@@ -115,7 +115,7 @@
             return
         entries = []
         if answer is not None:
-            entries = plain_entries(intent.operation, intent.argument, answer)
+            entries = service_history_items(intent.operation, intent.argument, answer)
         record = Finished(
             intent.program,
             intent.key,
@@ -124,7 +124,7 @@
             intent.upstream,
             intent.operation,
             answer,
-            RefusalBody.of(refusal) if refusal else None,
+            RefusalBody.from_refusal(refusal) if refusal else None,
             entries,
             0,
             live.program.budget.reserved,
--- a/pollenwalk/process/sidecar_histories.py
+++ b/pollenwalk/process/sidecar_histories.py
@@ -1,8 +1,13 @@
 """Program histories cached at the sidecar, so that a dispatch sends only the delta."""
 
-from pollenwalk.connection.wire import Answer, Dispatch, HistoryItem
-from pollenwalk.errors import Refusal, RefusalCode
-from pollenwalk.program.history import ROOT, History, chat_entries
+from pollenwalk.connection.wire import Answer
+from pollenwalk.connection.wire import Dispatch
+from pollenwalk.connection.wire import HistoryItem
+from pollenwalk.errors import Refusal
+from pollenwalk.errors import RefusalCode
+from pollenwalk.program.history import EMPTY_DIGEST
+from pollenwalk.program.history import History
+from pollenwalk.program.history import chat_history_items
 
 MAX_PROGRAMS = 4096
 
@@ -31,7 +36,7 @@
             Refusal: the result differs from the owner's history.
         """
         history = self.histories.pop(message.program, None)
-        if message.base == ROOT:
+        if message.base == EMPTY_DIGEST:
             history = History()
         if history is None or message.base not in history.digests:
             return None
@@ -47,13 +52,13 @@
             )
         self.histories[message.program] = history
         self.evict_excess()
-        return list(history.entries)
+        return list(history.items)
 
     def truncate(self, history: History, digest: str) -> History:
         """Return a copy of the history that ends at `digest`."""
         position = history.digests.index(digest)
         shorter = History()
-        shorter.extend(history.entries[:position])
+        shorter.extend(history.items[:position])
         return shorter
 
     def append_turn(self, message: Dispatch, answer: Answer) -> None:
@@ -63,7 +68,7 @@
         """
         history = self.histories.get(message.program)
         if history is not None and history.digest == message.digest:
-            history.extend(chat_entries(message.argument, answer))
+            history.extend(chat_history_items(message.argument, answer))
 
     def drop(self, program: str) -> None:
         """Drop the history of a program."""
