--- a/pollenwalk/connection/http_api.py
+++ b/pollenwalk/connection/http_api.py
@@ -2,39 +2,32 @@
 
 from collections.abc import AsyncIterator
 from http import HTTPStatus
+from typing import Any, NotRequired, TypedDict
+
+import msgspec
 from loguru import logger
-from pollenwalk.connection.wire import Answer
-from pollenwalk.connection.wire import BeginProgram
-from pollenwalk.connection.wire import CallProgram
-from pollenwalk.connection.wire import EndProgram
-from pollenwalk.connection.wire import Tokens
-from pollenwalk.connection.wire import ViewCall
-from pollenwalk.connection.wire import ViewProgram
-from pollenwalk.errors import PollenwalkError
-from pollenwalk.errors import Refusal
-from pollenwalk.errors import RefusalBody
-from pollenwalk.errors import RefusalCode
+from starlette.applications import Starlette
+from starlette.middleware import Middleware
+from starlette.requests import ClientDisconnect, Request
+from starlette.responses import JSONResponse, Response, StreamingResponse
+from starlette.routing import Route
+from starlette.types import ASGIApp, Receive, Scope, Send
+
+from pollenwalk.connection.wire import (
+    Answer,
+    BeginProgram,
+    CallProgram,
+    EndProgram,
+    Tokens,
+    ViewCall,
+    ViewProgram,
+)
+from pollenwalk.errors import PollenwalkError, Refusal, RefusalBody, RefusalCode
 from pollenwalk.process.entry import Entry
 from pollenwalk.process.metrics import EntryMetrics
 from pollenwalk.process.trace_header import TRACE_HEADER
 from pollenwalk.program.view import problem_document
 from pollenwalk.version.resources import ProgramSpec
-from starlette.applications import Starlette
-from starlette.middleware import Middleware
-from starlette.requests import ClientDisconnect
-from starlette.requests import Request
-from starlette.responses import JSONResponse
-from starlette.responses import Response
-from starlette.responses import StreamingResponse
-from starlette.routing import Route
-from starlette.types import ASGIApp
-from starlette.types import Receive
-from starlette.types import Scope
-from starlette.types import Send
-from typing import Any
-from typing import NotRequired
-from typing import TypedDict
-import msgspec
 
 MAX_BODY_BYTES = 1_000_000
 MAX_HEADER_BYTES = 16_384
--- a/pollenwalk/process/acceptance.py
+++ b/pollenwalk/process/acceptance.py
@@ -7,25 +7,23 @@
 """
 
 from collections.abc import Callable
+from typing import Any, NamedTuple
+
+import msgspec
 from loguru import logger
-from pollenwalk.errors import StoreConflict
-from pollenwalk.errors import StoreUnavailable
+
+from pollenwalk.errors import StoreConflict, StoreUnavailable
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.following import follow
-from pollenwalk.process.store import ABSENT
-from pollenwalk.process.store import ObjectStore
-from pollenwalk.process.store import StoredObject
-from pollenwalk.version.config import Accepted
-from pollenwalk.version.config import Configuration
-from pollenwalk.version.config import spec_to_json
-from pollenwalk.version.config import undeclared_references
+from pollenwalk.process.store import ABSENT, ObjectStore, StoredObject
+from pollenwalk.version.config import (
+    Accepted,
+    Configuration,
+    spec_to_json,
+    undeclared_references,
+)
 from pollenwalk.version.fields import InvalidFile
-from pollenwalk.version.resources import Kind
-from pollenwalk.version.resources import ResourceId
-from pollenwalk.version.resources import parse_section
-from typing import Any
-from typing import NamedTuple
-import msgspec
+from pollenwalk.version.resources import Kind, ResourceId, parse_section
 
 DESIRED_PREFIX = 'resources/'
 STATUS_PREFIX = 'accepted/'
--- a/pollenwalk/process/metrics.py
+++ b/pollenwalk/process/metrics.py
@@ -1,15 +1,13 @@
 """The metrics of an entry; the names contain the units."""
 
-from aioprometheus import Counter
-from aioprometheus import Gauge
-from aioprometheus import Registry
-from aioprometheus import Summary
-from aioprometheus import render
+import contextlib
+import time
 from collections.abc import Iterator
+
+from aioprometheus import Counter, Gauge, Registry, Summary, render
+
 from pollenwalk.errors import Refusal
 from pollenwalk.process.entry_interface import EntryInterface
-import contextlib
-import time
 
 
 class EntryMetrics:
--- a/pollenwalk/process/sidecar.py
+++ b/pollenwalk/process/sidecar.py
@@ -1,17 +1,20 @@
 """The sidecar process: runs next to one upstream host and makes all calls to it."""
 
+import random
+from typing import NamedTuple
+
 from loguru import logger
-from pollenwalk.connection.channel import Listener
-from pollenwalk.connection.channel import Network
-from pollenwalk.connection.peer import COALESCE_MS
-from pollenwalk.connection.peer import PeerServer
-from pollenwalk.connection.upstream import Engine
-from pollenwalk.connection.upstream import Service
-from pollenwalk.connection.wire import Entries
-from pollenwalk.connection.wire import Report
-from pollenwalk.connection.wire import UpstreamConfig
-from pollenwalk.connection.wire import decode_datagram
-from pollenwalk.connection.wire import encode_datagram
+
+from pollenwalk.connection.channel import Listener, Network
+from pollenwalk.connection.peer import COALESCE_MS, PeerServer
+from pollenwalk.connection.upstream import Engine, Service
+from pollenwalk.connection.wire import (
+    Entries,
+    Report,
+    UpstreamConfig,
+    decode_datagram,
+    encode_datagram,
+)
 from pollenwalk.errors import Refusal
 from pollenwalk.process.call_executor import CallExecutor
 from pollenwalk.process.clock import Clock
@@ -21,8 +24,6 @@
 from pollenwalk.process.traces import Tracer
 from pollenwalk.version.config import spec_from_json
 from pollenwalk.version.resources import Kind
-from typing import NamedTuple
-import random
 
 INITIAL_REPORT_INTERVAL_MS = 1000
 SEED_REPORT_EVERY = 10
--- a/pollenwalk/process/sidecar_histories.py
+++ b/pollenwalk/process/sidecar_histories.py
@@ -1,13 +1,8 @@
 """Program histories cached at the sidecar, so that a dispatch sends only the delta."""
 
-from pollenwalk.connection.wire import Answer
-from pollenwalk.connection.wire import Dispatch
-from pollenwalk.connection.wire import HistoryItem
-from pollenwalk.errors import Refusal
-from pollenwalk.errors import RefusalCode
-from pollenwalk.program.history import EMPTY_DIGEST
-from pollenwalk.program.history import History
-from pollenwalk.program.history import chat_history_items
+from pollenwalk.connection.wire import Answer, Dispatch, HistoryItem
+from pollenwalk.errors import Refusal, RefusalCode
+from pollenwalk.program.history import EMPTY_DIGEST, History, chat_history_items
 
 MAX_PROGRAMS = 4096
 
--- a/test/platform/test_templates.py
+++ b/test/platform/test_templates.py
@@ -1,13 +1,14 @@
 """The deploy file's templates, filled in as the platform would."""
 
+import tempfile
+import tomllib
 from pathlib import Path
-from pollenwalk.commands.main import EXIT_USAGE
-from pollenwalk.commands.main import main
+
+import testtools
+
+from pollenwalk.commands.main import EXIT_USAGE, main
 from pollenwalk.platform.templates import fill_template
 from pollenwalk.process.settings import parse_settings
-import tempfile
-import testtools
-import tomllib
 
 DEPLOY = Path(__file__).resolve().parents[2] / 'deploy'
 ZONES = {'rimouski': 'east', 'gatineau': 'west'}
@@ -54,9 +55,9 @@
 
     def test_bounds_of_the_platform_go_before_ours(self) -> None:
         template = (DEPLOY / 'gateway.ini').read_text()
-        own = parse_settings(fill_template(template, VALUES), 'gateway', 'gateway').section(
-            'gateway'
-        )
+        own = parse_settings(
+            fill_template(template, VALUES), 'gateway', 'gateway'
+        ).section('gateway')
         self.assertEqual((4000, 5000), (own['change_delay_ms'], own['leave_notice_ms']))
 
     def test_bounds_that_the_platform_lacks_are_ours(self) -> None:
