--- a/pollenwalk/process/logs.py
+++ b/pollenwalk/process/logs.py
@@ -1,10 +1,10 @@
-"""Logs as JSON lines, one object an event.
+"""Logs as JSON lines, one object per event.
 
 Daemons write them to standard output, commands to standard error.
 
-Lines are handed to a thread that writes them, so a reader that stops can
-never stop a request. What exceeds the rate or the room is dropped and
-counted; the count is logged as soon as lines flow again.
+A separate thread writes the lines, so a log reader that stops reading never
+blocks a request. Lines that exceed the rate limit or the queue are dropped and
+counted; the count is logged with the next line that is accepted.
 """
 
 import atexit
@@ -24,16 +24,16 @@
     from loguru import Record
 
 LEVELS = ('TRACE', 'DEBUG', 'INFO', 'WARNING', 'ERROR', 'CRITICAL')
-# Lines that may wait for the reader: about half a megabyte.
-MAX_WAITING = 2000
-# Lines a second that a process writes at most; a line costs about 50 us.
+# Maximum number of lines that wait to be written: about half a megabyte.
+MAX_QUEUED_LINES = 2000
+# Maximum number of lines that a process writes per second; each costs about 50 us.
 MAX_LINES_PER_SECOND = 600
-# The longest that a process waits for the reader of its last lines.
-DRAIN_S = 0.5
+# Maximum time that a process waits at exit until its last lines are written.
+FLUSH_TIMEOUT_S = 0.5
 
 
-def as_json_line(record: 'Record') -> str:
-    """Give an event's fields as one line."""
+def format_record(record: 'Record') -> str:
+    """Return the fields of an event as one line of JSON."""
     fields: dict[str, Any] = {
         'time': record['time'].isoformat(),
         'level': record['level'].name,
@@ -47,75 +47,84 @@
 
 
 class LineWriter:
-    """Writes lines without ever making the caller wait.
+    """Writes log lines in a thread, so that callers never block.
 
     Attributes:
-        dropped: lines that were given up since the last one was written.
+        target: the file that lines are written to.
+        queue: lines that are not written yet.
+        lines_queued: set when lines are queued.
+        idle: set while no lines are waiting to be written.
+        dropped: number of lines dropped since a line was last queued.
+        second: the second of the monotonic clock that lines are counted in.
+        lines_this_second: lines counted in that second, dropped ones included.
     """
 
     def __init__(self, target: TextIO) -> None:
-        """Write to a file in a thread of its own."""
+        """Start the thread that writes to `target`."""
         self.target = target
-        self.waiting: collections.deque[str] = collections.deque()
-        self.there_are_lines = threading.Event()
+        self.queue: collections.deque[str] = collections.deque()
+        self.lines_queued = threading.Event()
         self.idle = threading.Event()
         self.idle.set()
         self.dropped = 0
         self.second = 0
-        self.in_second = 0
+        self.lines_this_second = 0
         threading.Thread(target=self.run, name='logs', daemon=True).start()
 
-    def put(self, message: Any) -> None:
-        """Queue one event, or drop it."""
-        if self.too_many() or len(self.waiting) >= MAX_WAITING:
+    def enqueue(self, message: Any) -> None:
+        """Queue the line of one event, or drop it if there are too many."""
+        if self.exceeds_rate() or len(self.queue) >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
         if self.dropped:
             gap = {'event': 'dropped', 'lines': self.dropped}
             self.dropped = 0
-            self.waiting.append(json.dumps(gap))
-        self.waiting.append(as_json_line(message.record))
+            self.queue.append(json.dumps(gap))
+        self.queue.append(format_record(message.record))
         self.idle.clear()
-        self.there_are_lines.set()
+        self.lines_queued.set()
 
-    def too_many(self) -> bool:
-        """Count a line and tell whether it exceeds the rate."""
+    def exceeds_rate(self) -> bool:
+        """Count a line and return whether it exceeds the rate limit."""
         second = int(time.monotonic())
         if second != self.second:
             self.second = second
-            self.in_second = 0
-        self.in_second += 1
-        return self.in_second > MAX_LINES_PER_SECOND
+            self.lines_this_second = 0
+        self.lines_this_second += 1
+        return self.lines_this_second > MAX_LINES_PER_SECOND
 
     def run(self) -> None:
-        """Write what is queued, for ever."""
+        """Write queued lines in a loop; runs in the thread."""
         while True:
-            self.there_are_lines.wait()
-            self.there_are_lines.clear()
-            batch = [self.waiting.popleft() for _ in range(len(self.waiting))]
+            self.lines_queued.wait()
+            self.lines_queued.clear()
+            batch = [self.queue.popleft() for _ in range(len(self.queue))]
             if batch:
                 self.write(batch)
-            if not self.waiting:
+            if not self.queue:
                 self.idle.set()
 
     def write(self, batch: list[str]) -> None:
-        """Write some lines; without a reader they are lost."""
+        """Write lines; drop them if the file can't be written."""
         try:
             self.target.write('\n'.join((*batch, '')))
             self.target.flush()
         except (OSError, ValueError):
             self.dropped += len(batch)
 
-    def drain(self, timeout_s: float) -> None:
-        """Wait a bounded time until all lines are written."""
+    def flush(self, timeout_s: float) -> None:
+        """Wait until all lines are written, but at most `timeout_s`."""
         self.idle.wait(timeout_s)
 
 
-class Forward(logging.Handler):
-    """Sends what libraries log through the standard module the same way."""
+class LoggingBridge(logging.Handler):
+    """Passes log records of the standard logging module on to loguru.
+
+    Libraries log through that module.
+    """
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Pass one event on."""
+        """Log one record with loguru."""
         exception = record.exc_info[1] if record.exc_info else None
         logger.opt(exception=exception).log(
             record.levelname,
@@ -125,23 +134,23 @@
 
 
 def set_up_logs(level: str, target: TextIO | None = None) -> LineWriter:
-    """Send events of a level and above to a file.
+    """Write events of a level and above to a file as JSON lines.
 
     Args:
-        level: of the least important events that are written.
-        target: standard error if left out.
+        level: lowest level that is written.
+        target: the file; None for standard error.
 
     Returns:
-        The writer, which has lines left for a moment.
+        The writer. Lines may still be queued in it, see `LineWriter.flush`.
 
     Raises:
         UserError: there is no such level.
     """
     if level.upper() not in LEVELS:
-        raise UserError(f'log level {level!r}: allowed are {", ".join(LEVELS)}')
+        raise UserError(f'unknown log level {level!r}; allowed: {", ".join(LEVELS)}')
     writer = LineWriter(target or sys.stderr)
-    atexit.register(writer.drain, DRAIN_S)
+    atexit.register(writer.flush, FLUSH_TIMEOUT_S)
     logger.remove()
-    logger.add(writer.put, level=level.upper(), format='{message}')
-    logging.basicConfig(handlers=[Forward()], level=logging.WARNING, force=True)
+    logger.add(writer.enqueue, level=level.upper(), format='{message}')
+    logging.basicConfig(handlers=[LoggingBridge()], level=logging.WARNING, force=True)
     return writer
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -186,7 +186,7 @@
         resolver = Resolver(
             self.context.peers(host.address),
             self.context.clock,
-            connection.boot,
+            connection.boot_id,
         )
         until_ms = self.call.deadline_ms + RESOLVE_GRACE_MS
         try:
@@ -234,7 +234,7 @@
             self.request.operation,
             self.request.argument,
             host.address,
-            connection.boot,
+            connection.boot_id,
             self.context.incarnation,
         )
 
--- a/standin/experiments/placement.py
+++ b/standin/experiments/placement.py
@@ -95,7 +95,7 @@
             + (one.request.max_tokens - len(one.stream.texts)) * engine.shape.step_ms
             for one in engine.batch
         ]
-        waiting = len(sidecar.work.slot_queue.waiting) + len(engine.waiting)
+        waiting = len(sidecar.executor.slot_queue.waiting) + len(engine.waiting)
         free = max(engine.shape.slots - len(work), 0)
         typical = sum(work) / len(work) if work else request.expected_decode_ms
         queue_ms = max(waiting + 1 - free, 0) * typical / engine.shape.slots
--- a/standin/scenario/runner.py
+++ b/standin/scenario/runner.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from pollenwalk.errors import ConnectionLost, Refusal
-from pollenwalk.process.operator import Operator
+from pollenwalk.process.resource_client import ResourceClient
 from pollenwalk.version.resources import Kind, ResourceId
 from standin.caller import SPARES, Caller, GaveUp, Step, Tally
 from standin.scenario.language import Line, Scenario
@@ -141,7 +141,7 @@
     def sidecar_with(self, program_id: str) -> str:
         """Give the sidecar that runs a call of a program."""
         for name, process in self.world.sidecars.items():
-            for call in process.sidecar.work.calls.calls.values():
+            for call in process.sidecar.executor.calls.by_id.values():
                 if call.message.program == program_id and not call.ended_ms:
                     return name
         raise LookupError(f'no sidecar runs a call of {program_id}')
@@ -341,8 +341,8 @@
         """`apply KIND NAME KEY=VALUE …`, as an operator would."""
         keys = dict(pair.split('=', 1) for pair in pairs)
         resource_id = ResourceId(Kind(kind), name)
-        operator = Operator(self.world.store, self.clock)
-        await operator.apply(resource_id, keys)
+        client = ResourceClient(self.world.store, self.clock)
+        await client.apply(resource_id, keys)
 
     async def do_mark(self, name: str) -> None:
         """`mark WHO`: note how much work an upstream host has taken."""
@@ -415,7 +415,7 @@
         for name, process in self.world.sidecars.items():
             if process.node.dead or process.sidecar.settings.upstream != upstream:
                 continue
-            present = getattr(process.sidecar.work.spec, field)
+            present = getattr(process.sidecar.executor.spec, field)
             if str(present) != value:
                 raise AssertionError(f'{name} has {present}')
 
