--- a/pollenwalk/process/acceptance.py
+++ b/pollenwalk/process/acceptance.py
@@ -13,7 +13,7 @@
 
 from pollenwalk.errors import StoreConflict, StoreUnavailable
 from pollenwalk.process.clock import Clock
-from pollenwalk.process.following import follow
+from pollenwalk.process.prefix_watcher import watch_prefix
 from pollenwalk.process.store import ABSENT, ObjectStore, StoredObject
 from pollenwalk.version.config import (
     Accepted,
@@ -107,7 +107,7 @@
 
     async def follow_verdicts(self) -> None:
         """Keep the configuration current for as long as the process lives."""
-        await follow(
+        await watch_prefix(
             self.store,
             self.clock,
             VERDICTS,
@@ -141,7 +141,7 @@
 
     async def follow_wishes(self) -> None:
         """Follow what operators write for as long as the process lives."""
-        await follow(self.store, self.clock, WISHES, self.take_wish)
+        await watch_prefix(self.store, self.clock, WISHES, self.take_wish)
 
     async def judge_wishes(self, is_ours: Callable[[], bool]) -> None:
         """Judge wishes while `is_ours()` says that this entry should."""
--- a/pollenwalk/process/placing.py
+++ b/pollenwalk/process/call_placer.py
@@ -8,27 +8,27 @@
     way_ms,
 )
 from pollenwalk.process.clock import Clock
-from pollenwalk.process.host_book import SMOOTHING, HostBook, HostState
+from pollenwalk.process.host_table import SMOOTHING, HostState, HostTable
 from pollenwalk.request.call_state import Call
 
 # Expected time of a call on an idle host before any was seen.
 UNKNOWN_RUN_MS = 150.0
 
 
-class Placing:
+class CallPlacer:
     """Applies the policy to the hosts of an upstream."""
 
     def __init__(
         self,
         clock: Clock,
-        book: HostBook,
+        host_table: HostTable,
         choice: HostChoice,
         zone: str,
         regions: dict[str, str],
     ) -> None:
         """Place for a gateway in `zone`."""
         self.clock = clock
-        self.book = book
+        self.host_table = host_table
         self.choice = choice
         self.zone = zone
         self.regions = regions
@@ -39,7 +39,7 @@
         now_ms = self.clock.now_ms()
         states = {
             state.listed.id: state
-            for state in self.book.usable(call.upstream)
+            for state in self.host_table.usable(call.upstream)
             if state.listed.id not in avoid
         }
         candidates = (self.candidate(state, now_ms) for state in states.values())
@@ -49,7 +49,7 @@
     def least_wait_ms(self, call: Call, work: Work) -> float:
         """Estimate the wait at the best host; 0 where there is none."""
         now_ms = self.clock.now_ms()
-        states = self.book.usable(call.upstream)
+        states = self.host_table.usable(call.upstream)
         candidates = (self.candidate(state, now_ms) for state in states)
         waits = (
             way_ms(one) + wait_ms(one, work) for one in candidates if not one.suspected
--- a/pollenwalk/process/directory.py
+++ b/pollenwalk/process/directory.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from pollenwalk.process.clock import Clock
-from pollenwalk.process.following import follow
+from pollenwalk.process.prefix_watcher import watch_prefix
 from pollenwalk.process.store import ObjectStore, StoredObject
 
 PREFIX = 'entries/'
@@ -84,7 +84,7 @@
 
     async def follow(self) -> None:
         """Keep the view current for as long as the process lives."""
-        await follow(self.store, self.clock, PREFIX, self.take)
+        await watch_prefix(self.store, self.clock, PREFIX, self.take)
 
     def take(self, stored: StoredObject) -> None:
         """Note a record unless a newer one is known."""
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -12,14 +12,14 @@
 from pollenwalk.errors import Outcome, Refusal, RefusalCode, StoreUnavailable
 from pollenwalk.platform.documents import CONFIGURATION_KIND, HOSTS_KIND
 from pollenwalk.policy.host_choice import EarliestFinish
+from pollenwalk.process.call_placer import CallPlacer
 from pollenwalk.process.clock import Clock
-from pollenwalk.process.following import Follower, Handlers
 from pollenwalk.process.gateway_metrics import GatewayMetrics
-from pollenwalk.process.host_book import HostBook
+from pollenwalk.process.host_table import HostTable
 from pollenwalk.process.keeper_group import KeeperGroup
 from pollenwalk.process.keeper_links import KeeperLinks
-from pollenwalk.process.members import KEEPERS
-from pollenwalk.process.placing import Placing
+from pollenwalk.process.keeper_members import KEEPERS_PREFIX
+from pollenwalk.process.prefix_watcher import PrefixWatcher, WatchHandlers
 from pollenwalk.process.store import ObjectStore
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.request.call_state import Call, end_of_wait
@@ -88,18 +88,18 @@
         self.clock = clock
         self.tasks = TaskSet()
         self.in_force = InForce()
-        self.book = HostBook(clock)
+        self.host_table = HostTable(clock)
         self.pool = LinkPool(clock)
         self.stopping = False
-        placing = Placing(
+        call_placer = CallPlacer(
             clock,
-            self.book,
+            self.host_table,
             EarliestFinish(dice),
             settings.zone,
             settings.regions,
         )
         self.metrics = GatewayMetrics()
-        self.upstreams = Upstreams(clock, self.pool, placing, self.metrics, dice)
+        self.upstreams = Upstreams(clock, self.pool, call_placer, self.metrics, dice)
         self.links = KeeperLinks(
             network,
             clock,
@@ -117,7 +117,7 @@
     @property
     def ready(self) -> bool:
         """Tell whether new callers may come."""
-        known = self.in_force.current is not None and self.book.listed
+        known = self.in_force.current is not None and self.host_table.listed
         known = known and self.links.members.listed
         decided = self.links.undecided_ms < UNDECIDED_MS
         return known and decided and not self.stopping
@@ -130,19 +130,19 @@
     async def start(self) -> None:
         """Follow the store."""
         relay = self.keepers.read_prefix
-        configuration = Handlers(
+        configuration = WatchHandlers(
             self.in_force.take,
-            self.book.store_answered,
+            self.host_table.store_answered,
             lambda error: self.store_failed('configuration', error),
             relay,
         )
-        hosts = Handlers(
-            self.book.take,
+        hosts = WatchHandlers(
+            self.host_table.take,
             self.hosts_listed,
             lambda error: self.store_failed('hosts', error),
             relay,
         )
-        keepers = Handlers(
+        keepers = WatchHandlers(
             self.links.members.take,
             self.links.members.mark_listed,
             lambda error: self.store_failed('keepers', error),
@@ -152,16 +152,16 @@
         members_wait_ms = self.settings.leave_notice_ms * MEMBERS_SHARE
         self.follow(CONFIGURATION_KIND, configuration, wait_ms)
         self.follow(HOSTS_KIND, hosts, members_wait_ms)
-        self.follow(KEEPERS, keepers, members_wait_ms)
+        self.follow(KEEPERS_PREFIX, keepers, members_wait_ms)
 
     def follow(
         self,
         prefix: str,
-        handlers: Handlers,
+        handlers: WatchHandlers,
         wait_ms: float,
     ) -> None:
         """Follow one kind of objects for as long as the process lives."""
-        follower = Follower(
+        follower = PrefixWatcher(
             self.store,
             self.clock,
             prefix,
@@ -172,13 +172,13 @@
 
     def hosts_listed(self) -> None:
         """Note that the list of hosts is fresh."""
-        self.book.listed = True
-        self.book.store_answered()
-        self.pool.drop(set(self.book.states))
+        self.host_table.listed = True
+        self.host_table.store_answered()
+        self.pool.drop(set(self.host_table.states))
 
     def store_failed(self, what: str, error: StoreUnavailable) -> None:
         """Note that the store gave no answer, so that lists may be stale."""
-        self.book.store_failed()
+        self.host_table.store_failed()
         self.metrics.store_lost(what)
         logger.warning('store_unavailable', what=what, reason=error.message)
 
@@ -187,7 +187,7 @@
         current = self.in_force.current
         links = self.links.ordered()
         self.metrics.version.set({}, current.version if current else 0)
-        self.metrics.hosts.set({}, len(self.book.states))
+        self.metrics.hosts.set({}, len(self.host_table.states))
         self.metrics.keepers.set({}, len(links))
         lost = sum(link.lost_ms is not None for link in links)
         self.metrics.keepers_lost.set({}, lost)
--- a/pollenwalk/process/host_book.py
+++ b/pollenwalk/process/host_table.py
@@ -85,7 +85,7 @@
         self.passed_over_until_ms = 0.0
 
 
-class HostBook:
+class HostTable:
     """All hosts, by id."""
 
     def __init__(self, clock: Clock) -> None:
--- a/pollenwalk/process/joining.py
+++ b/pollenwalk/process/joining.py
@@ -12,7 +12,7 @@
 from pollenwalk.connection.peer import Peer
 from pollenwalk.errors import PollenwalkError
 from pollenwalk.process.keeper import Keeper
-from pollenwalk.process.members import Member
+from pollenwalk.process.keeper_members import Member
 from pollenwalk.program.turns import PullRecords, RecordBatch
 
 # The next batch of a keeper that is fetched from must come within this; a
--- a/pollenwalk/process/keeper.py
+++ b/pollenwalk/process/keeper.py
@@ -16,11 +16,11 @@
 from pollenwalk.connection.wire import Hello
 from pollenwalk.errors import Refusal, RefusalCode, StoreUnavailable
 from pollenwalk.process.clock import MS_PER_SECOND, Clock
-from pollenwalk.process.following import Follower, Handlers
 from pollenwalk.process.keeper_links import KeeperLinks
+from pollenwalk.process.keeper_members import KEEPERS_PREFIX, Member
 from pollenwalk.process.keeper_metrics import KeeperMetrics
 from pollenwalk.process.keeper_state import KeeperState
-from pollenwalk.process.members import KEEPERS, Member
+from pollenwalk.process.prefix_watcher import PrefixWatcher, WatchHandlers
 from pollenwalk.process.store import Backoff, ObjectStore
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.program.turns import (
@@ -105,8 +105,10 @@
             self.settings.address,
             self.server.serve,
         )
-        handlers = Handlers(self.links.members.take, self.note_listed, self.note_lost)
-        follower = Follower(self.store, self.clock, KEEPERS, handlers)
+        handlers = WatchHandlers(
+            self.links.members.take, self.note_listed, self.note_lost
+        )
+        follower = PrefixWatcher(self.store, self.clock, KEEPERS_PREFIX, handlers)
         self.tasks.spawn(follower.run(), 'follow_keepers')
         self.tasks.spawn(self.stay_registered(), 'register')
         self.tasks.spawn(self.expire(), 'expire')
--- a/pollenwalk/process/keeper_group.py
+++ b/pollenwalk/process/keeper_group.py
@@ -13,11 +13,11 @@
 
 from pollenwalk.errors import PollenwalkError, Refusal, RefusalCode
 from pollenwalk.process.clock import Clock
-from pollenwalk.process.copies import Copies, keepers_unavailable
 from pollenwalk.process.keeper_links import KeeperLink, KeeperLinks
-from pollenwalk.process.returns import Returns
+from pollenwalk.process.retry_advisor import RetryAdvisor
 from pollenwalk.process.store import Changes, StoredObject
 from pollenwalk.process.tasks import TaskSet
+from pollenwalk.process.turn_replication import TurnReplication, keepers_unavailable
 from pollenwalk.program.turn_index import TurnIndex
 from pollenwalk.program.turns import (
     Chain,
@@ -57,7 +57,7 @@
         self.tasks = tasks
         self.tolerated_losses = tolerated_losses
         self.cache = TurnIndex(clock, CACHE_BYTES)
-        self.returns = Returns(clock)
+        self.retry_advisor = RetryAdvisor(clock)
         self.unsettled: list[SettleTokens] = []
 
     @property
@@ -92,7 +92,7 @@
         links = [link for link in self.links.ordered() if not link.member.retiring]
         names = [link.member.name for link in links[: self.copies]]
         held = record._replace(holders=names)
-        await Copies(self.links, held, links, self.copies).make()
+        await TurnReplication(self.links, held, links, self.copies).make()
         self.cache.put(held)
         return names
 
--- a/pollenwalk/process/keeper_links.py
+++ b/pollenwalk/process/keeper_links.py
@@ -12,7 +12,7 @@
 from pollenwalk.connection.peer import Peer
 from pollenwalk.errors import ConnectionLost, PollenwalkError
 from pollenwalk.process.clock import Clock
-from pollenwalk.process.members import Member, Members
+from pollenwalk.process.keeper_members import Member, Members
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.program.turns import Settlements
 
--- a/pollenwalk/process/members.py
+++ b/pollenwalk/process/keeper_members.py
@@ -7,7 +7,7 @@
 
 from pollenwalk.process.store import StoredObject
 
-KEEPERS = 'keepers/'
+KEEPERS_PREFIX = 'keepers/'
 
 
 class Member(NamedTuple):
@@ -28,7 +28,7 @@
     @property
     def key(self) -> str:
         """Give the key of its object in the store."""
-        return f'{KEEPERS}{self.name}'
+        return f'{KEEPERS_PREFIX}{self.name}'
 
     def encode(self) -> bytes:
         """Give the body of its object in the store."""
@@ -49,7 +49,7 @@
 
     def take(self, stored: StoredObject) -> None:
         """Take a change of one keeper's object."""
-        name = stored.key.removeprefix(KEEPERS)
+        name = stored.key.removeprefix(KEEPERS_PREFIX)
         if stored.body:
             self.add(name, stored.body)
         else:
--- a/pollenwalk/process/following.py
+++ b/pollenwalk/process/prefix_watcher.py
@@ -20,7 +20,7 @@
 )
 
 
-class Handlers(NamedTuple):
+class WatchHandlers(NamedTuple):
     """Who hears of what is followed.
 
     Attributes:
@@ -39,7 +39,7 @@
     relay: Callable[[str], Awaitable[Changes | None]] | None = None
 
 
-class Follower:
+class PrefixWatcher:
     """Reads everything below a prefix, then each change, for ever.
 
     Attributes:
@@ -52,7 +52,7 @@
         store: ObjectStore,
         clock: Clock,
         prefix: str,
-        handlers: Handlers,
+        handlers: WatchHandlers,
         wait_ms: float = LONG_WAIT_MS,
     ) -> None:
         """Prepare to follow.
@@ -148,7 +148,7 @@
             self.known.discard(stored.key)
 
 
-async def follow(
+async def watch_prefix(
     store: ObjectStore,
     clock: Clock,
     prefix: str,
@@ -156,4 +156,4 @@
     after_read: Callable[[], None] | None = None,
 ) -> None:
     """Follow a prefix on its own, for ever."""
-    await Follower(store, clock, prefix, Handlers(take, after_read)).run()
+    await PrefixWatcher(store, clock, prefix, WatchHandlers(take, after_read)).run()
--- a/pollenwalk/process/retirement.py
+++ b/pollenwalk/process/retirement.py
@@ -16,9 +16,9 @@
     decode_retirement,
     retirement_status,
 )
-from pollenwalk.process.following import Follower, Handlers
 from pollenwalk.process.keeper import Keeper, in_batches, store_lost
-from pollenwalk.process.members import Member
+from pollenwalk.process.keeper_members import Member
+from pollenwalk.process.prefix_watcher import PrefixWatcher, WatchHandlers
 from pollenwalk.process.store import ObjectStore, StoredObject
 from pollenwalk.program.turns import (
     FindMissing,
@@ -52,8 +52,8 @@
 
     async def follow(self) -> None:
         """Follow the requests for as long as the process lives."""
-        handlers = Handlers(self.take, on_loss=store_lost)
-        await Follower(
+        handlers = WatchHandlers(self.take, on_loss=store_lost)
+        await PrefixWatcher(
             self.store,
             self.keeper.clock,
             RETIREMENTS_KIND,
--- a/pollenwalk/process/returns.py
+++ b/pollenwalk/process/retry_advisor.py
@@ -18,7 +18,7 @@
 MOST_REMEMBERED = 2000
 
 
-class Returns:
+class RetryAdvisor:
     """The programs that were refused here a moment ago."""
 
     def __init__(self, clock: Clock) -> None:
--- a/pollenwalk/process/copies.py
+++ b/pollenwalk/process/turn_replication.py
@@ -16,7 +16,7 @@
 RETRY_MS = 50
 
 
-class Copies:
+class TurnReplication:
     """Sends a record until enough keepers have it."""
 
     def __init__(
--- a/pollenwalk/request/exchange.py
+++ b/pollenwalk/request/exchange.py
@@ -6,7 +6,7 @@
 
 from pollenwalk.connection.link_pool import LinkPool
 from pollenwalk.connection.upstream_link import UpstreamLink
-from pollenwalk.process.host_book import HostState
+from pollenwalk.process.host_table import HostState
 from pollenwalk.request.traits import AnswerHead
 
 SUCCESSES = range(HTTPStatus.OK, HTTPStatus.MULTIPLE_CHOICES)
--- a/pollenwalk/request/program_turn.py
+++ b/pollenwalk/request/program_turn.py
@@ -44,7 +44,7 @@
             return await self.permitted_prompt()
         except Refusal as refusal:
             program = self.call.request.traits.program
-            raise self.group.returns.advise(refusal, program) from refusal
+            raise self.group.retry_advisor.advise(refusal, program) from refusal
 
     async def permitted_prompt(self) -> bytes:
         """Reserve the tokens while the prompt is put together."""
--- a/pollenwalk/request/reservation.py
+++ b/pollenwalk/request/reservation.py
@@ -6,9 +6,9 @@
 
 from pollenwalk.errors import Refusal, RefusalCode
 from pollenwalk.process.clock import MS_PER_SECOND
-from pollenwalk.process.copies import keepers_unavailable
 from pollenwalk.process.gateway_metrics import GatewayMetrics
 from pollenwalk.process.keeper_group import KeeperGroup
+from pollenwalk.process.turn_replication import keepers_unavailable
 from pollenwalk.program.ledger import Heard, Verdict, fits_unseen, judge
 from pollenwalk.program.turns import ReserveTokens, Spent, TokenEntry
 from pollenwalk.request.call_state import Call
--- a/pollenwalk/request/sends.py
+++ b/pollenwalk/request/sends.py
@@ -21,10 +21,10 @@
 from pollenwalk.platform.headers import resume_header, sent_headers
 from pollenwalk.policy.door import may_begin, return_after_ms
 from pollenwalk.policy.host_choice import Work
+from pollenwalk.process.call_placer import CallPlacer
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.gateway_metrics import GatewayMetrics
-from pollenwalk.process.host_book import HostState
-from pollenwalk.process.placing import Placing
+from pollenwalk.process.host_table import HostState
 from pollenwalk.request.call_state import Call
 from pollenwalk.request.exchange import Exchange
 from pollenwalk.request.traits import Headers
@@ -43,7 +43,7 @@
 
     clock: Clock
     pool: LinkPool
-    placing: Placing
+    call_placer: CallPlacer
     metrics: GatewayMetrics
     dice: random.Random
 
@@ -63,7 +63,7 @@
         self.upstreams = upstreams
         self.call = call
         self.body = body
-        self.work = Work(upstreams.placing.run_ms(call))
+        self.work = Work(upstreams.call_placer.run_ms(call))
         self.runs = 0
         self.sent_ms = 0.0
         self.waited = False
@@ -76,8 +76,8 @@
             Refusal: the hosts are too busy for one more program.
         """
         call = self.call
-        placing = self.upstreams.placing
-        wait_ms = placing.least_wait_ms(call, self.work)
+        call_placer = self.upstreams.call_placer
+        wait_ms = call_placer.least_wait_ms(call, self.work)
         if may_begin(wait_ms, call.route.target_ms, call.route.priority):
             return
         rest_ms = call.rest_ms(self.upstreams.clock.now_ms())
@@ -103,7 +103,7 @@
         if self.waited:
             return
         run_ms = self.upstreams.clock.now_ms() - self.sent_ms
-        self.upstreams.placing.ran(self.call, run_ms)
+        self.upstreams.call_placer.ran(self.call, run_ms)
 
     def may_run(self) -> bool:
         """Tell whether one more host may run the call."""
@@ -146,7 +146,7 @@
         target_ms = self.call.route.target_ms
         limit_ms = self.call.request.arrived_ms + target_ms * HOLD_SHARE
         while True:
-            state = self.upstreams.placing.choose(self.call, self.work, self.tried)
+            state = self.upstreams.call_placer.choose(self.call, self.work, self.tried)
             if state is not None:
                 return state
             if not self.tried or clock.now_ms() + ASK_AGAIN_MS > limit_ms:
@@ -243,7 +243,7 @@
     def bounced(self, state: HostState, reason: str) -> None:
         """Note a host that did not run the call."""
         self.tried.add(state.listed.id)
-        self.upstreams.placing.bounced(state, reason)
+        self.upstreams.call_placer.bounced(state, reason)
         self.upstreams.metrics.sent('not_run')
         logger.info(
             'not_run',
--- a/test/process/test_host_book.py
+++ b/test/process/test_host_table.py
@@ -5,11 +5,11 @@
 import testtools
 
 from pollenwalk.process.clock import Clock
-from pollenwalk.process.host_book import (
+from pollenwalk.process.host_table import (
     LAST_SUSPICION_MS,
     LISTED_AGAIN_MS,
     STORE_UNSETTLED_MS,
-    HostBook,
+    HostTable,
 )
 from pollenwalk.process.store import StoredObject
 from test.helper import make_clock, virtual
@@ -36,79 +36,79 @@
 class HostBookTest(testtools.TestCase):
     """Entries that come, change, lapse and go."""
 
-    def book(self, clock: Clock) -> HostBook:
-        """Make a book of two hosts."""
-        book = HostBook(clock)
-        book.take(entry('i-1', 1))
-        book.take(entry('i-2', 2))
-        return book
+    def table(self, clock: Clock) -> HostTable:
+        """Make a table of two hosts."""
+        table = HostTable(clock)
+        table.take(entry('i-1', 1))
+        table.take(entry('i-2', 2))
+        return table
 
-    def usable(self, book: HostBook) -> list[str]:
+    def usable(self, table: HostTable) -> list[str]:
         """Name the hosts that take new calls."""
-        return [state.listed.id for state in book.usable('up')]
+        return [state.listed.id for state in table.usable('up')]
 
     @virtual
     async def test_leaving_hosts_take_no_new_calls(self) -> None:
-        book = self.book(make_clock())
-        book.take(entry('i-1', 3, state='draining'))
-        self.assertEqual(['i-2'], self.usable(book))
+        table = self.table(make_clock())
+        table.take(entry('i-1', 3, state='draining'))
+        self.assertEqual(['i-2'], self.usable(table))
 
     @virtual
     async def test_gone_at_once_while_the_store_is_well(self) -> None:
-        book = self.book(make_clock())
-        book.take(gone('i-1', 3))
-        self.assertEqual(['i-2'], self.usable(book))
+        table = self.table(make_clock())
+        table.take(gone('i-1', 3))
+        self.assertEqual(['i-2'], self.usable(table))
 
     @virtual
     async def test_an_entry_that_lapsed_is_kept_for_a_while(self) -> None:
         clock = make_clock()
-        book = self.book(clock)
-        book.store_failed()
-        book.store_answered()
-        book.take(gone('i-1', 3))
-        book.take(gone('i-2', 4))
+        table = self.table(clock)
+        table.store_failed()
+        table.store_answered()
+        table.take(gone('i-1', 3))
+        table.take(gone('i-2', 4))
         await clock.sleep_ms(LISTED_AGAIN_MS - 100)
-        book.take(entry('i-2', 5))
-        self.assertEqual(['i-1', 'i-2'], self.usable(book))
+        table.take(entry('i-2', 5))
+        self.assertEqual(['i-1', 'i-2'], self.usable(table))
         await clock.sleep_ms(200)
-        self.assertEqual(['i-2'], self.usable(book))
+        self.assertEqual(['i-2'], self.usable(table))
 
     @virtual
     async def test_an_entry_that_goes_while_the_store_is_lost(self) -> None:
         """Another process may have told of it."""
-        book = self.book(make_clock())
-        book.store_failed()
-        book.take(gone('i-1', 3))
-        self.assertEqual(['i-1', 'i-2'], self.usable(book))
+        table = self.table(make_clock())
+        table.store_failed()
+        table.take(gone('i-1', 3))
+        self.assertEqual(['i-1', 'i-2'], self.usable(table))
 
     @virtual
     async def test_the_store_settles(self) -> None:
         clock = make_clock()
-        book = self.book(clock)
-        book.store_failed()
-        book.store_answered()
+        table = self.table(clock)
+        table.store_failed()
+        table.store_answered()
         await clock.sleep_ms(STORE_UNSETTLED_MS + 1)
-        book.take(gone('i-1', 3))
-        self.assertEqual(['i-2'], self.usable(book))
+        table.take(gone('i-1', 3))
+        self.assertEqual(['i-2'], self.usable(table))
 
     @virtual
     async def test_an_unreadable_entry_changes_nothing(self) -> None:
-        book = self.book(make_clock())
-        book.take(StoredObject('servers/i-1', b'nonsense', 3))
-        book.take(entry('i-3', 4, slots='eight'))
-        self.assertEqual(['i-1', 'i-2'], self.usable(book))
+        table = self.table(make_clock())
+        table.take(StoredObject('servers/i-1', b'nonsense', 3))
+        table.take(entry('i-3', 4, slots='eight'))
+        self.assertEqual(['i-1', 'i-2'], self.usable(table))
 
     @virtual
     async def test_a_new_start_under_the_same_id_knows_nothing(self) -> None:
-        book = self.book(make_clock())
-        book.states['i-1'].failed(0)
-        book.take(entry('i-1', 3, born=7))
-        self.assertEqual(0, book.states['i-1'].failures)
+        table = self.table(make_clock())
+        table.states['i-1'].failed(0)
+        table.take(entry('i-1', 3, born=7))
+        self.assertEqual(0, table.states['i-1'].failures)
 
     @virtual
     async def test_suspicion_grows_and_ends(self) -> None:
         clock = make_clock()
-        state = self.book(clock).states['i-1']
+        state = self.table(clock).states['i-1']
         for _ in range(20):
             state.failed(clock.now_ms())
         self.assertEqual(
@@ -121,7 +121,7 @@
     @virtual
     async def test_a_host_that_fails_for_hours(self) -> None:
         clock = make_clock()
-        state = self.book(clock).states['i-1']
+        state = self.table(clock).states['i-1']
         for _ in range(5000):
             state.failed(clock.now_ms())
         self.assertEqual(
--- a/test/process/test_keepers.py
+++ b/test/process/test_keepers.py
@@ -6,16 +6,16 @@
 import testtools
 
 from pollenwalk.errors import Refusal, RefusalCode
-from pollenwalk.process.copies import NEAR_HEDGE_MS
-from pollenwalk.process.following import Follower, Handlers
 from pollenwalk.process.joining import Joining
 from pollenwalk.process.keeper import Keeper, KeeperSettings
 from pollenwalk.process.keeper_group import KeeperGroup
 from pollenwalk.process.keeper_links import KeeperLinks
+from pollenwalk.process.keeper_members import KEEPERS_PREFIX
 from pollenwalk.process.keeper_state import KeeperState
-from pollenwalk.process.members import KEEPERS
+from pollenwalk.process.prefix_watcher import PrefixWatcher, WatchHandlers
 from pollenwalk.process.retirement import Retirement
 from pollenwalk.process.tasks import TaskSet
+from pollenwalk.process.turn_replication import NEAR_HEDGE_MS
 from pollenwalk.program.turns import ReserveTokens, SettleTokens, TurnRecord
 from standin.link import REGION_MS, Place
 from standin.memory_disk import MemoryDisk
@@ -99,8 +99,8 @@
         tasks = TaskSet()
         network = VirtualNetwork(self.fabric, node)
         links = KeeperLinks(network, clock, tasks, zone, REGIONS)
-        handlers = Handlers(links.members.take, links.members.mark_listed)
-        follower = Follower(self.store, clock, KEEPERS, handlers)
+        handlers = WatchHandlers(links.members.take, links.members.mark_listed)
+        follower = PrefixWatcher(self.store, clock, KEEPERS_PREFIX, handlers)
         tasks.spawn(follower.run(), 'follow')
         return KeeperGroup(links, clock, tasks, 1)
 
--- a/test/process/test_following.py
+++ b/test/process/test_prefix_watcher.py
@@ -6,7 +6,7 @@
 
 from pollenwalk.errors import StoreHistoryGone
 from pollenwalk.process.clock import Clock
-from pollenwalk.process.following import Follower, Handlers
+from pollenwalk.process.prefix_watcher import PrefixWatcher, WatchHandlers
 from pollenwalk.process.store import LONG_WAIT_MS, Changes, StoredObject
 from standin.store import Faults, MemoryStore
 from test.helper import make_clock, virtual
@@ -42,11 +42,11 @@
 class FollowingTest(testtools.TestCase):
     """What a follower hands over."""
 
-    def follower(self, store: MemoryStore, **options: object) -> Follower:
+    def follower(self, store: MemoryStore, **options: object) -> PrefixWatcher:
         """Follow `a/` and remember what is there."""
         self.seen: dict[str, bytes] = {}
-        handlers = Handlers(self.take, relay=self.relay)
-        return Follower(store, store.clock, 'a/', handlers, **options)
+        handlers = WatchHandlers(self.take, relay=self.relay)
+        return PrefixWatcher(store, store.clock, 'a/', handlers, **options)
 
     def take(self, stored: StoredObject) -> None:
         """Remember an object, or forget it."""
--- a/test/request/test_forwarding.py
+++ b/test/request/test_forwarding.py
@@ -11,10 +11,10 @@
 from pollenwalk.connection.link_pool import LinkPool
 from pollenwalk.errors import BrokenAnswer, Outcome, Refusal, RefusalCode
 from pollenwalk.policy.host_choice import EarliestFinish
+from pollenwalk.process.call_placer import CallPlacer
 from pollenwalk.process.clock import LoopClock
 from pollenwalk.process.gateway_metrics import GatewayMetrics
-from pollenwalk.process.host_book import HostBook
-from pollenwalk.process.placing import Placing
+from pollenwalk.process.host_table import HostTable
 from pollenwalk.request.call_state import Call
 from pollenwalk.request.plain import run_plain
 from pollenwalk.request.sends import Upstreams
@@ -157,18 +157,18 @@
     async def upstreams(self) -> Upstreams:
         """Start all; one that comes first seems to be the least loaded."""
         clock = LoopClock()
-        book = HostBook(clock)
+        host_table = HostTable(clock)
         for number, host in enumerate(self.hosts):
             listed: UpstreamHost = await host.start()
-            book.register(listed, 1)
-            state = book.states[listed.id]
+            host_table.register(listed, 1)
+            state = host_table.states[listed.id]
             state.note_load((number * 4, 0, 4), clock.now_ms())
         choice = EarliestFinish(random.Random(1))
-        placing = Placing(clock, book, choice, 'here', {'here': 'east'})
+        call_placer = CallPlacer(clock, host_table, choice, 'here', {'here': 'east'})
         return Upstreams(
             clock,
             LinkPool(clock),
-            placing,
+            call_placer,
             GatewayMetrics(),
             random.Random(1),
         )
@@ -230,7 +230,7 @@
         """Run a turn; gives the hosts, what was learnt, and the error."""
         hosts = Hosts(streams)
         upstreams = await hosts.upstreams()
-        state = next(upstreams.placing.book.usable('up'))
+        state = next(upstreams.call_placer.host_table.usable('up'))
         now_ms = upstreams.clock.now_ms()
         state.note_load((state.listed.slots, waiting, state.listed.slots), now_ms)
         call = make_call(STREAM)
@@ -240,7 +240,7 @@
         except Refusal as refusal:
             error = refusal
         hosts.hosts[0].stop()
-        return hosts, upstreams.placing.run_times, error
+        return hosts, upstreams.call_placer.run_times, error
 
     @on_loop
     async def test_a_new_program_is_turned_back(self) -> None:
@@ -413,6 +413,6 @@
         running.cancel()
         async with asyncio.timeout(0.5):
             await gone.wait()
-        state = next(iter(upstreams.placing.book.states.values()))
+        state = next(iter(upstreams.call_placer.host_table.states.values()))
         self.assertEqual(0, state.in_flight)
         hosts.hosts[0].stop()
--- a/test/request/test_program_turn.py
+++ b/test/request/test_program_turn.py
@@ -8,7 +8,7 @@
 from pollenwalk.process.gateway import deadline_passed
 from pollenwalk.process.gateway_metrics import GatewayMetrics
 from pollenwalk.process.keeper_group import KeeperGroup
-from pollenwalk.process.members import Member
+from pollenwalk.process.keeper_members import Member
 from pollenwalk.program.turns import SettleTokens
 from pollenwalk.request.call_state import Call
 from pollenwalk.request.event_stream import Event
