--- a/pollenwalk/process/call_placer.py
+++ b/pollenwalk/process/call_placer.py
@@ -34,22 +34,22 @@
         self.regions = regions
         self.run_times: dict[str, float] = {}
 
-    def choose(self, call: Call, work: Work, avoid: set[str]) -> HostState | None:
+    def choose_host(self, call: Call, work: Work, avoid: set[str]) -> HostState | None:
         """Pick a host that has not been tried; None where there is none."""
         now_ms = self.clock.now_ms()
         states = {
-            state.listed.id: state
-            for state in self.host_table.usable(call.upstream)
-            if state.listed.id not in avoid
+            state.registration.id: state
+            for state in self.host_table.available_hosts(call.upstream)
+            if state.registration.id not in avoid
         }
         candidates = (self.candidate(state, now_ms) for state in states.values())
         chosen = self.choice.choose(candidates, work)
         return None if chosen is None else states[chosen.host]
 
-    def least_wait_ms(self, call: Call, work: Work) -> float:
+    def min_wait_ms(self, call: Call, work: Work) -> float:
         """Estimate the wait at the best host; 0 where there is none."""
         now_ms = self.clock.now_ms()
-        states = self.host_table.usable(call.upstream)
+        states = self.host_table.available_hosts(call.upstream)
         candidates = (self.candidate(state, now_ms) for state in states)
         waits = (
             way_ms(one) + wait_ms(one, work) for one in candidates if not one.suspected
@@ -58,29 +58,29 @@
 
     def candidate(self, state: HostState, now_ms: float) -> Candidate:
         """Describe a host to the policy."""
-        listed = state.listed
+        registration = state.registration
         region = self.regions.get(self.zone)
         return Candidate(
-            host=listed.id,
-            slots=listed.slots,
+            host=registration.id,
+            slots=registration.slots,
             load=state.load(now_ms),
-            same_zone=listed.zone == self.zone,
-            same_region=self.regions.get(listed.zone) == region,
+            same_zone=registration.zone == self.zone,
+            same_region=self.regions.get(registration.zone) == region,
             cached_tokens=0,
-            warm_up_ms=listed.warm_up_ms,
-            suspected=state.passed_over_until_ms > now_ms,
+            warm_up_ms=registration.warm_up_ms,
+            suspected=state.suspected_until_ms > now_ms,
         )
 
-    def bounced(self, state: HostState, _reason: str) -> None:
+    def record_rejection(self, state: HostState, _reason: str) -> None:
         """Pass over a host that can't be reached or takes nothing."""
-        state.failed(self.clock.now_ms())
+        state.record_failure(self.clock.now_ms())
 
-    def run_ms(self, call: Call) -> float:
+    def expected_run_ms(self, call: Call) -> float:
         """Give the expected time of a call once it runs."""
         return self.run_times.get(call.route.name, UNKNOWN_RUN_MS)
 
-    def ran(self, call: Call, run_ms: float) -> None:
+    def record_run_time(self, call: Call, run_ms: float) -> None:
         """Learn from a call that was answered whole and did not wait."""
-        known = self.run_ms(call)
+        known = self.expected_run_ms(call)
         learnt = known + (run_ms - known) * SMOOTHING
         self.run_times[call.route.name] = learnt
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -117,8 +117,8 @@
     @property
     def ready(self) -> bool:
         """Tell whether new callers may come."""
-        known = self.in_force.current is not None and self.host_table.listed
-        known = known and self.links.members.listed
+        known = self.in_force.current is not None and self.host_table.loaded
+        known = known and self.links.members.loaded
         decided = self.links.undecided_ms < UNDECIDED_MS
         return known and decided and not self.stopping
 
@@ -138,13 +138,13 @@
         )
         hosts = WatchHandlers(
             self.host_table.take,
-            self.hosts_listed,
+            self.on_hosts_read,
             lambda error: self.store_failed('hosts', error),
             relay,
         )
         keepers = WatchHandlers(
             self.links.members.take,
-            self.links.members.mark_listed,
+            self.links.members.mark_loaded,
             lambda error: self.store_failed('keepers', error),
             relay,
         )
@@ -170,16 +170,16 @@
         )
         self.tasks.spawn(follower.run(), f'follow {prefix}')
 
-    def hosts_listed(self) -> None:
+    def on_hosts_read(self) -> None:
         """Note that the list of hosts is fresh."""
-        self.host_table.listed = True
+        self.host_table.loaded = True
         self.host_table.store_answered()
         self.pool.drop(set(self.host_table.states))
 
     def store_failed(self, what: str, error: StoreUnavailable) -> None:
         """Note that the store gave no answer, so that lists may be stale."""
         self.host_table.store_failed()
-        self.metrics.store_lost(what)
+        self.metrics.count_store_failure(what)
         logger.warning('store_unavailable', what=what, reason=error.message)
 
     def refresh_metrics(self) -> None:
@@ -214,7 +214,7 @@
             raise
         finally:
             took_ms = self.clock.now_ms() - request.arrived_ms
-            self.metrics.ended(str(call.route.kind), outcome, took_ms)
+            self.metrics.count_request(str(call.route.kind), outcome, took_ms)
             logger.info(
                 'ended',
                 request=call.id,
--- a/pollenwalk/process/gateway_daemon.py
+++ b/pollenwalk/process/gateway_daemon.py
@@ -80,7 +80,7 @@
         self.app = GatewayApp(
             self.clock,
             self.gateway.handle,
-            self.gateway.metrics.refused,
+            self.gateway.metrics.count_refusal,
             self.gateway.max_body_bytes,
         )
         self.callers = HttpServer(
--- a/pollenwalk/process/gateway_metrics.py
+++ b/pollenwalk/process/gateway_metrics.py
@@ -58,21 +58,21 @@
             'Keepers that give no answer.',
         )
 
-    def refused(self, refusal: Refusal) -> None:
+    def count_refusal(self, refusal: Refusal) -> None:
         """Count a refusal."""
         self.refused_total.inc(
             {'code': str(refusal.code), 'outcome': str(refusal.outcome)},
         )
 
-    def ended(self, kind: str, outcome: str, took_ms: float) -> None:
+    def count_request(self, kind: str, outcome: str, took_ms: float) -> None:
         """Count and time a request."""
         self.requests_total.inc({'kind': kind, 'outcome': outcome})
         self.request_seconds.observe({'kind': kind}, took_ms / MS_PER_SECOND)
 
-    def sent(self, outcome: str) -> None:
+    def count_send(self, outcome: str) -> None:
         """Count a send."""
         self.sends_total.inc({'outcome': outcome})
 
-    def store_lost(self, what: str) -> None:
+    def count_store_failure(self, what: str) -> None:
         """Count an answer that the store did not give."""
         self.store_losses_total.inc({'what': what})
--- a/pollenwalk/process/host_table.py
+++ b/pollenwalk/process/host_table.py
@@ -35,29 +35,29 @@
     """What one gateway believes of one start of a host.
 
     Attributes:
-        listed: as the host registered itself.
+        registration: as the host registered itself.
         in_flight: calls of this gateway there.
-        others: calls of others there, at the last report.
+        other_calls: calls of others there, at the last report.
         reported_ms: time of that report; None before the first.
         failures: in a row.
-        passed_over_until_ms: while it is suspected.
-        gone_at_ms: when an entry that went is to be taken as gone.
+        suspected_until_ms: while it is suspected.
+        removal_due_ms: when an entry that went is to be taken as gone.
     """
 
-    def __init__(self, listed: UpstreamHost) -> None:
+    def __init__(self, registration: UpstreamHost) -> None:
         """Believe the best of a new host."""
-        self.listed = listed
+        self.registration = registration
         self.in_flight = 0
-        self.others = 0
+        self.other_calls = 0
         self.reported_ms: float | None = None
         self.failures = 0
-        self.passed_over_until_ms = 0.0
-        self.gone_at_ms: float | None = None
+        self.suspected_until_ms = 0.0
+        self.removal_due_ms: float | None = None
 
-    def note_load(self, load: tuple[int, int, int], now_ms: float) -> None:
+    def record_load(self, load: tuple[int, int, int], now_ms: float) -> None:
         """Take a load that the host told with an answer."""
         running, waiting, _ = load
-        self.others = max(running + waiting - self.in_flight, 0)
+        self.other_calls = max(running + waiting - self.in_flight, 0)
         self.reported_ms = now_ms
 
     def load(self, now_ms: float) -> float:
@@ -66,23 +66,23 @@
         if age_ms is None:
             return self.in_flight
         trust = max(0.0, 1 - age_ms / (2 * REPORT_TRUST_MS))
-        return self.in_flight + self.others * trust
+        return self.in_flight + self.other_calls * trust
 
     def report_age_ms(self, now_ms: float) -> float | None:
         """Give the age of the last report; None before the first."""
         return None if self.reported_ms is None else now_ms - self.reported_ms
 
-    def failed(self, now_ms: float) -> None:
+    def record_failure(self, now_ms: float) -> None:
         """Pass the host over for a while."""
         self.failures += 1
         doublings = min(self.failures - 1, MOST_DOUBLINGS)
         pause_ms = FIRST_SUSPICION_MS * 2**doublings
-        self.passed_over_until_ms = now_ms + min(pause_ms, LAST_SUSPICION_MS)
+        self.suspected_until_ms = now_ms + min(pause_ms, LAST_SUSPICION_MS)
 
-    def worked(self) -> None:
+    def record_success(self) -> None:
         """Trust the host again."""
         self.failures = 0
-        self.passed_over_until_ms = 0.0
+        self.suspected_until_ms = 0.0
 
 
 class HostTable:
@@ -92,88 +92,91 @@
         """Start with none."""
         self.clock = clock
         self.states: dict[str, HostState] = {}
-        self.listed = False
-        self.store_lost_ms: float | None = None
-        self.store_back_ms: float | None = None
+        self.loaded = False
+        self.store_unavailable_since_ms: float | None = None
+        self.store_recovered_ms: float | None = None
 
     def take(self, stored: StoredObject) -> None:
         """Take a change of one host's entry."""
         name = stored.key.removeprefix(HOSTS_KIND)
         if not stored.body:
-            self.entry_gone(name, stored.version)
+            self.entry_deleted(name, stored.version)
             return
         try:
-            listed = decode_host(stored.key, stored.body)
+            registration = decode_host(stored.key, stored.body)
         except MalformedObject as error:
             logger.warning('upstream_host_unreadable', host=name, reason=error.message)
             return
-        self.register(listed, stored.version)
+        self.register(registration, stored.version)
 
-    def register(self, listed: UpstreamHost, version: int) -> None:
+    def register(self, registration: UpstreamHost, version: int) -> None:
         """Add a host, or change what it says of itself."""
-        state = self.states.get(listed.id)
-        if state is None or state.listed.born_ms != listed.born_ms:
-            state = HostState(listed)
-            self.states[listed.id] = state
-        state.listed = listed
-        state.gone_at_ms = None
+        state = self.states.get(registration.id)
+        if state is None or state.registration.born_ms != registration.born_ms:
+            state = HostState(registration)
+            self.states[registration.id] = state
+        state.registration = registration
+        state.removal_due_ms = None
         logger.info(
             'upstream_host',
-            host=listed.id,
-            upstream=listed.upstream,
-            leaving=listed.leaving,
+            host=registration.id,
+            upstream=registration.upstream,
+            leaving=registration.leaving,
             version=version,
         )
 
-    def entry_gone(self, name: str, version: int) -> None:
+    def entry_deleted(self, name: str, version: int) -> None:
         """Drop a host, at once or when it had time to register again."""
         state = self.states.get(name)
         if state is None:
             return
-        grace_ms = LISTED_AGAIN_MS if self.store_unsettled() else 0
-        state.gone_at_ms = self.clock.now_ms() + grace_ms
+        grace_ms = LISTED_AGAIN_MS if self.entries_may_have_lapsed() else 0
+        state.removal_due_ms = self.clock.now_ms() + grace_ms
         logger.info(
             'upstream_host_gone',
             host=name,
             version=version,
             grace_ms=grace_ms,
         )
-        self.sweep()
+        self.remove_expired()
 
-    def store_unsettled(self) -> bool:
+    def entries_may_have_lapsed(self) -> bool:
         """Tell whether entries may have lapsed although their hosts live."""
-        if self.store_lost_ms is not None:
+        if self.store_unavailable_since_ms is not None:
             return True
-        if self.store_back_ms is None:
+        if self.store_recovered_ms is None:
             return False
-        return self.clock.now_ms() - self.store_back_ms < STORE_UNSETTLED_MS
+        return self.clock.now_ms() - self.store_recovered_ms < STORE_UNSETTLED_MS
 
     def store_answered(self) -> None:
         """Note an answer of the store."""
-        if self.store_lost_ms is None:
+        if self.store_unavailable_since_ms is None:
             return
-        self.store_lost_ms = None
-        self.store_back_ms = self.clock.now_ms()
+        self.store_unavailable_since_ms = None
+        self.store_recovered_ms = self.clock.now_ms()
 
     def store_failed(self) -> None:
         """Note that the store gave no answer."""
-        if self.store_lost_ms is None:
-            self.store_lost_ms = self.clock.now_ms()
+        if self.store_unavailable_since_ms is None:
+            self.store_unavailable_since_ms = self.clock.now_ms()
 
-    def sweep(self) -> None:
+    def remove_expired(self) -> None:
         """Forget the hosts whose time is over."""
         now_ms = self.clock.now_ms()
         over = [
             name
             for name, state in self.states.items()
-            if state.gone_at_ms is not None and state.gone_at_ms <= now_ms
+            if state.removal_due_ms is not None and state.removal_due_ms <= now_ms
         ]
         for name in over:
             self.states.pop(name)
 
-    def usable(self, upstream: str) -> Iterator[HostState]:
+    def available_hosts(self, upstream: str) -> Iterator[HostState]:
         """Give the hosts of an upstream that take new calls."""
-        self.sweep()
+        self.remove_expired()
         for state in self.states.values():
-            if state.listed.upstream == upstream and not state.listed.leaving:
+            if (
+                state.registration.upstream == upstream
+                and not state.registration.leaving
+            ):
                 yield state
--- a/pollenwalk/process/joining.py
+++ b/pollenwalk/process/joining.py
@@ -53,7 +53,7 @@
         member before.
         """
         keeper = self.keeper
-        if not keeper.links.members.listed:
+        if not keeper.links.members.loaded:
             return False
         count = len(keeper.others()) + int(keeper.was_member)
         needed = max(count - keeper.settings.tolerated_losses, 1)
--- a/pollenwalk/process/keeper.py
+++ b/pollenwalk/process/keeper.py
@@ -213,8 +213,8 @@
     def note_listed(self) -> None:
         """Note that the keepers are known, and whether this one was listed."""
         self.store_lost = False
-        if not self.links.members.listed:
-            self.links.members.mark_listed()
+        if not self.links.members.loaded:
+            self.links.members.mark_loaded()
             self.was_member = self.settings.name in self.links.members.by_name
 
     async def stay_registered(self) -> None:
@@ -222,7 +222,7 @@
         backoff = Backoff(self.clock)
         while True:
             await self.clock.sleep_ms(REGISTER_EVERY_MS)
-            if not self.links.members.listed or not self.is_missing():
+            if not self.links.members.loaded or not self.is_missing():
                 continue
             try:
                 await self.store.put(self.own.key, self.own.encode(), None)
--- a/pollenwalk/process/keeper_members.py
+++ b/pollenwalk/process/keeper_members.py
@@ -39,13 +39,13 @@
     """All keepers, by name.
 
     Attributes:
-        listed: whether the store has been read.
+        loaded: whether the store has been read.
     """
 
     def __init__(self) -> None:
         """Start with none known."""
         self.by_name: dict[str, Member] = {}
-        self.listed = False
+        self.loaded = False
 
     def take(self, stored: StoredObject) -> None:
         """Take a change of one keeper's object."""
@@ -71,6 +71,6 @@
         except (msgspec.DecodeError, msgspec.ValidationError, AttributeError) as error:
             logger.error('keeper_unreadable', keeper=name, reason=str(error))
 
-    def mark_listed(self) -> None:
+    def mark_loaded(self) -> None:
         """Note that the store has been read."""
-        self.listed = True
+        self.loaded = True
--- a/pollenwalk/request/sends.py
+++ b/pollenwalk/request/sends.py
@@ -63,7 +63,7 @@
         self.upstreams = upstreams
         self.call = call
         self.body = body
-        self.work = Work(upstreams.call_placer.run_ms(call))
+        self.work = Work(upstreams.call_placer.expected_run_ms(call))
         self.runs = 0
         self.sent_ms = 0.0
         self.waited = False
@@ -77,7 +77,7 @@
         """
         call = self.call
         call_placer = self.upstreams.call_placer
-        wait_ms = call_placer.least_wait_ms(call, self.work)
+        wait_ms = call_placer.min_wait_ms(call, self.work)
         if may_begin(wait_ms, call.route.target_ms, call.route.priority):
             return
         rest_ms = call.rest_ms(self.upstreams.clock.now_ms())
@@ -91,7 +91,7 @@
             priority=call.route.priority,
             retry_after_ms=round(retry_after_ms),
         )
-        self.upstreams.metrics.sent('turned_back')
+        self.upstreams.metrics.count_send('turned_back')
         raise Refusal(
             RefusalCode.OVERLOADED,
             f'{call.upstream}: too busy for one more program',
@@ -103,7 +103,7 @@
         if self.waited:
             return
         run_ms = self.upstreams.clock.now_ms() - self.sent_ms
-        self.upstreams.call_placer.ran(self.call, run_ms)
+        self.upstreams.call_placer.record_run_time(self.call, run_ms)
 
     def may_run(self) -> bool:
         """Tell whether one more host may run the call."""
@@ -146,7 +146,9 @@
         target_ms = self.call.route.target_ms
         limit_ms = self.call.request.arrived_ms + target_ms * HOLD_SHARE
         while True:
-            state = self.upstreams.call_placer.choose(self.call, self.work, self.tried)
+            state = self.upstreams.call_placer.choose_host(
+                self.call, self.work, self.tried
+            )
             if state is not None:
                 return state
             if not self.tried or clock.now_ms() + ASK_AGAIN_MS > limit_ms:
@@ -177,10 +179,10 @@
             BrokenAnswer: the host may have run the call.
         """
         self.sent_ms = self.upstreams.clock.now_ms()
-        self.waited = state.load(self.sent_ms) >= state.listed.slots
+        self.waited = state.load(self.sent_ms) >= state.registration.slots
         state.in_flight += 1
         try:
-            link = await self.upstreams.pool.take(state.listed)
+            link = await self.upstreams.pool.take(state.registration)
         except BaseException:
             state.in_flight -= 1
             raise
@@ -207,14 +209,14 @@
         head = await exchange.link.head(self.call.id)
         exchange.head = head
         if head.load is not None:
-            state.note_load(head.load, self.upstreams.clock.now_ms())
+            state.record_load(head.load, self.upstreams.clock.now_ms())
         if head.refused:
             self.runs -= 1
             await exchange.body()
             raise NotSent(f'refused with status {head.status}')
         if not head.signed or head.encoded:
             raise BrokenAnswer(f'status {head.status} without a signature')
-        self.upstreams.metrics.sent('answered')
+        self.upstreams.metrics.count_send('answered')
 
     def log_send(self, state: HostState) -> None:
         """Log which host was chosen and what that rested on."""
@@ -222,7 +224,7 @@
         logger.info(
             'sent',
             request=self.call.id,
-            host=state.listed.id,
+            host=state.registration.id,
             load=round(state.load(now_ms), 1),
             load_age_ms=state.report_age_ms(now_ms),
             run=self.runs + 1,
@@ -232,7 +234,7 @@
     def headers(self, state: HostState, last_event: str) -> Headers:
         """Write the headers for one host."""
         rest_ms = self.call.rest_ms(self.upstreams.clock.now_ms())
-        added = sent_headers(state.listed.id, rest_ms, None)
+        added = sent_headers(state.registration.id, rest_ms, None)
         given = self.call.request.headers
         if last_event:
             resume = resume_header(last_event)
@@ -242,25 +244,25 @@
 
     def bounced(self, state: HostState, reason: str) -> None:
         """Note a host that did not run the call."""
-        self.tried.add(state.listed.id)
-        self.upstreams.call_placer.bounced(state, reason)
-        self.upstreams.metrics.sent('not_run')
+        self.tried.add(state.registration.id)
+        self.upstreams.call_placer.record_rejection(state, reason)
+        self.upstreams.metrics.count_send('not_run')
         logger.info(
             'not_run',
             request=self.call.id,
-            host=state.listed.id,
+            host=state.registration.id,
             reason=reason,
         )
 
     def broke(self, state: HostState, reason: str) -> None:
         """Note a host that may have run the call and gave no answer."""
-        self.tried.add(state.listed.id)
-        state.failed(self.upstreams.clock.now_ms())
-        self.upstreams.metrics.sent('broken')
+        self.tried.add(state.registration.id)
+        state.record_failure(self.upstreams.clock.now_ms())
+        self.upstreams.metrics.count_send('broken')
         logger.warning(
             'broken_answer',
             request=self.call.id,
-            host=state.listed.id,
+            host=state.registration.id,
             reason=reason,
             runs=self.runs,
         )
--- a/pollenwalk/request/streamed.py
+++ b/pollenwalk/request/streamed.py
@@ -129,7 +129,7 @@
             if self.sends.may_run():
                 return False
             raise
-        exchange.state.worked()
+        exchange.state.record_success()
         return True
 
     async def pass_answer(self, exchange: Exchange) -> None:
@@ -166,7 +166,7 @@
         logger.info(
             'stream_begins',
             request=self.call.id,
-            host=exchange.state.listed.id,
+            host=exchange.state.registration.id,
             status=exchange.head.status,
             after_ms=round(took_ms),
         )
--- a/test/process/test_host_table.py
+++ b/test/process/test_host_table.py
@@ -45,7 +45,7 @@
 
     def usable(self, table: HostTable) -> list[str]:
         """Name the hosts that take new calls."""
-        return [state.listed.id for state in table.usable('up')]
+        return [state.registration.id for state in table.available_hosts('up')]
 
     @virtual
     async def test_leaving_hosts_take_no_new_calls(self) -> None:
@@ -101,7 +101,7 @@
     @virtual
     async def test_a_new_start_under_the_same_id_knows_nothing(self) -> None:
         table = self.table(make_clock())
-        table.states['i-1'].failed(0)
+        table.states['i-1'].record_failure(0)
         table.take(entry('i-1', 3, born=7))
         self.assertEqual(0, table.states['i-1'].failures)
 
@@ -110,21 +110,21 @@
         clock = make_clock()
         state = self.table(clock).states['i-1']
         for _ in range(20):
-            state.failed(clock.now_ms())
+            state.record_failure(clock.now_ms())
         self.assertEqual(
             LAST_SUSPICION_MS,
-            state.passed_over_until_ms - clock.now_ms(),
+            state.suspected_until_ms - clock.now_ms(),
         )
-        state.worked()
-        self.assertEqual(0, state.passed_over_until_ms)
+        state.record_success()
+        self.assertEqual(0, state.suspected_until_ms)
 
     @virtual
     async def test_a_host_that_fails_for_hours(self) -> None:
         clock = make_clock()
         state = self.table(clock).states['i-1']
         for _ in range(5000):
-            state.failed(clock.now_ms())
+            state.record_failure(clock.now_ms())
         self.assertEqual(
             LAST_SUSPICION_MS,
-            state.passed_over_until_ms - clock.now_ms(),
+            state.suspected_until_ms - clock.now_ms(),
         )
--- a/test/process/test_keepers.py
+++ b/test/process/test_keepers.py
@@ -99,7 +99,7 @@
         tasks = TaskSet()
         network = VirtualNetwork(self.fabric, node)
         links = KeeperLinks(network, clock, tasks, zone, REGIONS)
-        handlers = WatchHandlers(links.members.take, links.members.mark_listed)
+        handlers = WatchHandlers(links.members.take, links.members.mark_loaded)
         follower = PrefixWatcher(self.store, clock, KEEPERS_PREFIX, handlers)
         tasks.spawn(follower.run(), 'follow')
         return KeeperGroup(links, clock, tasks, 1)
--- a/test/request/test_forwarding.py
+++ b/test/request/test_forwarding.py
@@ -162,7 +162,7 @@
             listed: UpstreamHost = await host.start()
             host_table.register(listed, 1)
             state = host_table.states[listed.id]
-            state.note_load((number * 4, 0, 4), clock.now_ms())
+            state.record_load((number * 4, 0, 4), clock.now_ms())
         choice = EarliestFinish(random.Random(1))
         call_placer = CallPlacer(clock, host_table, choice, 'here', {'here': 'east'})
         return Upstreams(
@@ -230,9 +230,11 @@
         """Run a turn; gives the hosts, what was learnt, and the error."""
         hosts = Hosts(streams)
         upstreams = await hosts.upstreams()
-        state = next(upstreams.call_placer.host_table.usable('up'))
+        state = next(upstreams.call_placer.host_table.available_hosts('up'))
         now_ms = upstreams.clock.now_ms()
-        state.note_load((state.listed.slots, waiting, state.listed.slots), now_ms)
+        state.record_load(
+            (state.registration.slots, waiting, state.registration.slots), now_ms
+        )
         call = make_call(STREAM)
         error = None
         try:
