--- a/pollenwalk/process/compaction.py
+++ b/pollenwalk/process/compaction.py
@@ -33,7 +33,7 @@
 
     def start(self) -> None:
         """Follow what is recorded and compact in the background."""
-        self.home.parts.recorder.touched = self.touched
+        self.home.parts.recorder.on_committed = self.touched
         self.home.tasks.spawn(self.run(), 'compaction')
 
     def touched(self, records: list[Record], segment: int) -> None:
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -119,7 +119,7 @@
         """Tell whether new callers may come."""
         known = self.in_force.current is not None and self.host_table.loaded
         known = known and self.links.members.loaded
-        decided = self.links.undecided_ms < UNDECIDED_MS
+        decided = self.links.without_majority_ms < UNDECIDED_MS
         return known and decided and not self.stopping
 
     def max_body_bytes(self) -> int:
@@ -137,13 +137,13 @@
             relay,
         )
         hosts = WatchHandlers(
-            self.host_table.take,
+            self.host_table.apply_change,
             self.on_hosts_read,
             lambda error: self.store_failed('hosts', error),
             relay,
         )
         keepers = WatchHandlers(
-            self.links.members.take,
+            self.links.members.apply_change,
             self.links.members.mark_loaded,
             lambda error: self.store_failed('keepers', error),
             relay,
@@ -189,7 +189,7 @@
         self.metrics.version.set({}, current.version if current else 0)
         self.metrics.hosts.set({}, len(self.host_table.states))
         self.metrics.keepers.set({}, len(links))
-        lost = sum(link.lost_ms is not None for link in links)
+        lost = sum(link.lost_since_ms is not None for link in links)
         self.metrics.keepers_lost.set({}, lost)
 
     async def stop(self) -> None:
--- a/pollenwalk/process/home.py
+++ b/pollenwalk/process/home.py
@@ -72,7 +72,9 @@
 
     def start(self) -> None:
         """Start the background work."""
-        self.tasks.spawn(self.parts.recorder.send_settled(self.parts.peers), 'settle')
+        self.tasks.spawn(
+            self.parts.recorder.send_settlements(self.parts.peers), 'settle'
+        )
         self.upkeep.start()
 
     def release(self, program: Program) -> Coroutine[Any, Any, None]:
@@ -155,7 +157,7 @@
             Fenced: this home has a successor; ask there.
         """
         try:
-            await self.parts.recorder.confirm(CONFIRM_WAIT_MS)
+            await self.parts.recorder.confirm_ownership(CONFIRM_WAIT_MS)
         except TimeoutError:
             return False
         return True
--- a/pollenwalk/process/host_table.py
+++ b/pollenwalk/process/host_table.py
@@ -96,7 +96,7 @@
         self.store_unavailable_since_ms: float | None = None
         self.store_recovered_ms: float | None = None
 
-    def take(self, stored: StoredObject) -> None:
+    def apply_change(self, stored: StoredObject) -> None:
         """Take a change of one host's entry."""
         name = stored.key.removeprefix(HOSTS_KIND)
         if not stored.body:
--- a/pollenwalk/process/joining.py
+++ b/pollenwalk/process/joining.py
@@ -55,13 +55,13 @@
         keeper = self.keeper
         if not keeper.links.members.loaded:
             return False
-        count = len(keeper.others()) + int(keeper.was_member)
+        count = len(keeper.other_members()) + int(keeper.was_member)
         needed = max(count - keeper.settings.tolerated_losses, 1)
         return len(self.fetched) >= needed
 
     async def fetch_all(self) -> None:
         """Fetch from every keeper that has not given all yet."""
-        for member in self.keeper.others():
+        for member in self.keeper.other_members():
             if member.name not in self.fetched and await self.fetch(member):
                 self.fetched.add(member.name)
 
@@ -78,7 +78,7 @@
         try:
             async for batch in self.batches(peer):
                 complete = complete and batch.complete
-                count += await keeper.state.take_over(batch.records)
+                count += await keeper.state.add_records(batch.records)
         except (PollenwalkError, TimeoutError) as error:
             logger.warning('fetch_failed', keeper=member.name, reason=repr(error))
             return False
@@ -104,12 +104,14 @@
     def lost(self) -> list[str]:
         """Name the keepers whose copies may be gone, this one included."""
         reached = self.fetched
-        names = [one.name for one in self.keeper.others() if one.name not in reached]
+        names = [
+            one.name for one in self.keeper.other_members() if one.name not in reached
+        ]
         return [*names, self.keeper.settings.name]
 
     async def replace_lost(self) -> None:
         """Take the place of one keeper that has been gone all the while."""
-        for member in self.keeper.others():
+        for member in self.keeper.other_members():
             if member.name in self.fetched or await self.fetch(member):
                 continue
             logger.warning(
--- a/pollenwalk/process/keeper.py
+++ b/pollenwalk/process/keeper.py
@@ -63,7 +63,7 @@
     Attributes:
         was_member: whether the store listed this keeper when it started.
         retired: whether it is to be taken away and must not be listed.
-        store_lost: whether the store gave no answer at last.
+        store_unavailable: whether the store gave no answer at last.
     """
 
     def __init__(
@@ -90,27 +90,29 @@
             settings.regions,
         )
         self.server = PeerServer(clock, self.answer, settings.name, 0)
-        self.own = Member(settings.name, settings.address, settings.zone)
+        self.own_member = Member(settings.name, settings.address, settings.zone)
         self.was_member = False
         self.retired = False
-        self.store_lost = False
+        self.store_unavailable = False
         self.listener: Listener | None = None
-        self.writing: asyncio.Task[None] | None = None
+        self.log_writer: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Read the disk, then serve and follow the store."""
         self.state.open(self.settings.first_start)
-        self.writing = self.tasks.spawn(self.state.log.run(), 'record_log')
+        self.log_writer = self.tasks.spawn(self.state.log.run(), 'record_log')
         self.listener = await self.network.listen(
             self.settings.address,
             self.server.serve,
         )
         handlers = WatchHandlers(
-            self.links.members.take, self.note_listed, self.note_lost
+            self.links.members.apply_change,
+            self.on_keepers_read,
+            self.on_store_unavailable,
         )
         follower = PrefixWatcher(self.store, self.clock, KEEPERS_PREFIX, handlers)
         self.tasks.spawn(follower.run(), 'follow_keepers')
-        self.tasks.spawn(self.stay_registered(), 'register')
+        self.tasks.spawn(self.keep_registered(), 'register')
         self.tasks.spawn(self.expire(), 'expire')
 
     async def stop(self) -> None:
@@ -122,11 +124,11 @@
         self.state.log.close()
 
     @property
-    def copies(self) -> int:
+    def required_copies(self) -> int:
         """Give how many disks must have a turn."""
         return self.settings.tolerated_losses + 1
 
-    def others(self) -> list[Member]:
+    def other_members(self) -> list[Member]:
         """Give the other keepers, the nearest first."""
         found = (link.member for link in self.links.ordered())
         return [one for one in found if one.name != self.settings.name]
@@ -134,11 +136,11 @@
     async def answer(self, _: Hello, message: Any) -> AsyncIterator[Any]:
         """Answer one message of a gateway or of another keeper."""
         if isinstance(message, PullRecords):
-            for batch in in_batches(self.needed_by(message.lost)):
+            for batch in batched(self.records_to_restore(message.lost)):
                 yield RecordBatch(self.state.complete, batch)
             return
         begun_ms = self.clock.now_ms()
-        answer = await self.one_answer(message)
+        answer = await self.answer_single(message)
         kind = {'kind': type(message).__name__}
         took_ms = self.clock.now_ms() - begun_ms
         self.metrics.messages_total.inc(kind)
@@ -152,13 +154,13 @@
         self.metrics.accounts.set({}, len(self.state.ledger.accounts))
         self.metrics.complete.set({}, int(self.state.complete))
 
-    def needed_by(self, lost: list[str]) -> Iterator[bytes]:
+    def records_to_restore(self, lost: list[str]) -> Iterator[bytes]:
         """Encode what a keeper needs that stands in for lost ones."""
         alive = self.links.members.by_name.keys() - set(lost)
-        turns = self.state.scarce_turns(alive, self.copies)
+        turns = self.state.underreplicated_turns(alive, self.required_copies)
         return chain(self.state.account_records(), turns)
 
-    async def one_answer(self, message: Any) -> Any:
+    async def answer_single(self, message: Any) -> Any:
         """Answer a message that has one answer.
 
         Raises:
@@ -180,13 +182,13 @@
     async def store_records(self, message: Any) -> None:
         """Put what a message brings onto the disk."""
         if isinstance(message, TurnRecord):
-            if self.own.retiring:
+            if self.own_member.retiring:
                 raise Refusal(RefusalCode.RETIRING, 'this keeper is leaving')
-            await self.state.keep(message)
+            await self.state.store_record(message)
         elif isinstance(message, Settlements):
-            await asyncio.gather(*map(self.state.keep, message.settled))
+            await asyncio.gather(*map(self.state.store_record, message.settled))
         elif isinstance(message, PushRecords):
-            await self.state.take_over(message.records)
+            await self.state.add_records(message.records)
         else:
             raise Refusal(RefusalCode.PROTOCOL, 'no message for a keeper')
 
@@ -196,7 +198,7 @@
         Raises:
             Refusal: it gives this keeper no answer either.
         """
-        if self.store_lost:
+        if self.store_unavailable:
             raise Refusal(RefusalCode.STORE_UNAVAILABLE, 'the store is lost here too')
         try:
             changes = await self.store.scan(prefix)
@@ -205,57 +207,61 @@
         objects = [ListedObject(*stored) for stored in changes.objects]
         return Listing(changes.revision, objects)
 
-    def note_lost(self, error: StoreUnavailable) -> None:
+    def on_store_unavailable(self, error: StoreUnavailable) -> None:
         """Note that the store gives no answer."""
-        self.store_lost = True
-        store_lost(error)
+        self.store_unavailable = True
+        log_store_unavailable(error)
 
-    def note_listed(self) -> None:
+    def on_keepers_read(self) -> None:
         """Note that the keepers are known, and whether this one was listed."""
-        self.store_lost = False
+        self.store_unavailable = False
         if not self.links.members.loaded:
             self.links.members.mark_loaded()
             self.was_member = self.settings.name in self.links.members.by_name
 
-    async def stay_registered(self) -> None:
+    async def keep_registered(self) -> None:
         """Put this keeper into the store whenever it isn't there."""
         backoff = Backoff(self.clock)
         while True:
             await self.clock.sleep_ms(REGISTER_EVERY_MS)
-            if not self.links.members.loaded or not self.is_missing():
+            if not self.links.members.loaded or not self.needs_registration():
                 continue
             try:
-                await self.store.put(self.own.key, self.own.encode(), None)
+                await self.store.put(
+                    self.own_member.key, self.own_member.encode(), None
+                )
             except StoreUnavailable as error:
-                store_lost(error)
+                log_store_unavailable(error)
                 await backoff.pause()
                 continue
             backoff = Backoff(self.clock)
-            logger.info('registered', keeper=self.own.name)
-            self.links.members.by_name[self.own.name] = self.own
+            logger.info('registered', keeper=self.own_member.name)
+            self.links.members.by_name[self.own_member.name] = self.own_member
 
-    def is_missing(self) -> bool:
+    def needs_registration(self) -> bool:
         """Tell whether the store lists this keeper otherwise than it is.
 
         One that still fetches records is not listed, since it can't answer
         for the past.
         """
-        listed = self.links.members.by_name.get(self.own.name)
+        listed = self.links.members.by_name.get(self.own_member.name)
         wanted = self.state.complete and not self.retired
-        return wanted and listed != self.own
+        return wanted and listed != self.own_member
 
     async def remove(self, member: Member) -> None:
         """Take a keeper off the list, however long the store is away."""
-        await self.insist(lambda: self.store.delete(member.key))
+        await self.retry_until_acknowledged(lambda: self.store.delete(member.key))
 
-    async def insist(self, write: Callable[[], Awaitable[object]]) -> None:
+    async def retry_until_acknowledged(
+        self, write: Callable[[], Awaitable[object]]
+    ) -> None:
         """Write to the store until it answers."""
         backoff = Backoff(self.clock)
         while True:
             try:
                 await write()
             except StoreUnavailable as error:
-                store_lost(error)
+                log_store_unavailable(error)
                 await backoff.pause()
                 continue
             return
@@ -268,7 +274,7 @@
             await self.state.compact()
 
 
-def in_batches(records: Iterable[bytes]) -> Iterator[list[bytes]]:
+def batched(records: Iterable[bytes]) -> Iterator[list[bytes]]:
     """Group records; at least one batch, even if it is empty."""
     batch: list[bytes] = []
     for record in records:
@@ -279,6 +285,6 @@
     yield batch
 
 
-def store_lost(error: StoreUnavailable) -> None:
+def log_store_unavailable(error: StoreUnavailable) -> None:
     """Log that the store gave no answer."""
     logger.warning('store_unavailable', what='keepers', reason=error.message)
--- a/pollenwalk/process/keeper_daemon.py
+++ b/pollenwalk/process/keeper_daemon.py
@@ -61,7 +61,7 @@
 
 def begin_changes(keeper: Keeper, store: PlatformStore) -> None:
     """Begin what changes the keepers: joining them, and leaving them."""
-    keeper.tasks.spawn(Retirement(keeper, store).follow(), 'follow_retirements')
+    keeper.tasks.spawn(Retirement(keeper, store).watch_requests(), 'follow_retirements')
     if not keeper.state.complete:
         keeper.tasks.spawn(Joining(keeper).run(), 'join')
 
@@ -73,10 +73,10 @@
         OSError: the disk failed; what was not synced is not acknowledged.
     """
     stopping = asyncio.ensure_future(stopped.wait())
-    waiting = {stopping, keeper.writing} - {None}
+    waiting = {stopping, keeper.log_writer} - {None}
     await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
-    if not stopped.is_set() and keeper.writing is not None:
-        await keeper.writing
+    if not stopped.is_set() and keeper.log_writer is not None:
+        await keeper.log_writer
 
 
 def make_keeper(settings: Settings, store: PlatformStore) -> Keeper:
--- a/pollenwalk/process/keeper_group.py
+++ b/pollenwalk/process/keeper_group.py
@@ -61,11 +61,11 @@
         self.unsettled: list[SettleTokens] = []
 
     @property
-    def copies(self) -> int:
+    def required_copies(self) -> int:
         """Give how many disks must have a record."""
         return self.tolerated_losses + 1
 
-    async def answers(self, message: Any) -> AsyncIterator[Any]:
+    async def ask_all(self, message: Any) -> AsyncIterator[Any]:
         """Ask all keepers at once and give the answers as they come."""
         asking = [
             asyncio.ensure_future(self.links.ask(link, message))
@@ -80,7 +80,7 @@
             for task in asking:
                 task.cancel()
 
-    async def keep(self, record: TurnRecord) -> list[str]:
+    async def store_turn(self, record: TurnRecord) -> list[str]:
         """Have a turn kept on enough disks.
 
         Returns:
@@ -90,13 +90,15 @@
             Refusal: too few keepers answer.
         """
         links = [link for link in self.links.ordered() if not link.member.retiring]
-        names = [link.member.name for link in links[: self.copies]]
+        names = [link.member.name for link in links[: self.required_copies]]
         held = record._replace(holders=names)
-        await TurnReplication(self.links, held, links, self.copies).make()
+        await TurnReplication(self.links, held, links, self.required_copies).make()
         self.cache.put(held)
         return names
 
-    async def insist(self, work: Callable[[], Awaitable[Result]]) -> Result:
+    async def retry_until_acknowledged(
+        self, work: Callable[[], Awaitable[Result]]
+    ) -> Result:
         """Do again what keepers that gave no answer had to confirm.
 
         Ends when the caller's time is over, by cancellation.
@@ -112,7 +114,7 @@
                     raise
             await self.clock.sleep_ms(ASK_AGAIN_MS)
 
-    async def chain(self, turn: str) -> list[TurnRecord]:
+    async def load_chain(self, turn: str) -> list[TurnRecord]:
         """Find a turn and all before it, the oldest first.
 
         Raises:
@@ -121,13 +123,13 @@
         found = self.cache.chain(turn)
         turns = found.turns
         while found.missing:
-            found = await self.find(found.missing)
+            found = await self.find_chain(found.missing)
             for record in found.turns:
                 self.cache.put(record)
             turns = [*found.turns, *turns]
         return turns
 
-    async def find(self, turn: str) -> Chain:
+    async def find_chain(self, turn: str) -> Chain:
         """Find a part of a chain at the keepers, the nearest first.
 
         Raises:
@@ -136,7 +138,7 @@
         links = self.links.ordered()
         absent = 0
         for link in links:
-            found = await self.ask_for(link, turn)
+            found = await self.ask_for_chain(link, turn)
             if found is not None and found.turns:
                 return found
             absent += int(found is not None and found.complete)
@@ -144,7 +146,7 @@
             raise Refusal(RefusalCode.UNKNOWN_TURN, f'no turn {turn}')
         raise keepers_unavailable(f'{absent} of {len(links)} have no turn {turn}')
 
-    async def ask_for(self, link: KeeperLink, turn: str) -> Chain | None:
+    async def ask_for_chain(self, link: KeeperLink, turn: str) -> Chain | None:
         """Ask one keeper for a turn; None where it gives no answer."""
         return await answer_or_none(self.links.ask(link, FindChain(turn)))
 
--- a/pollenwalk/process/keeper_links.py
+++ b/pollenwalk/process/keeper_links.py
@@ -32,7 +32,7 @@
     Attributes:
         member: as the store lists it.
         distance: rank of its zone.
-        lost_ms: since when it gives no answer; None while it does.
+        lost_since_ms: since when it gives no answer; None while it does.
     """
 
     def __init__(self, member: Member, peer: Peer, distance: int) -> None:
@@ -40,7 +40,7 @@
         self.member = member
         self.peer = peer
         self.distance = distance
-        self.lost_ms: float | None = None
+        self.lost_since_ms: float | None = None
 
 
 class KeeperLinks:
@@ -69,7 +69,7 @@
         return sorted(
             links,
             key=lambda link: (
-                link.lost_ms is not None,
+                link.lost_since_ms is not None,
                 link.distance,
                 link.member.name,
             ),
@@ -98,23 +98,23 @@
         """Give how many keepers decide on budgets."""
         return len(self.members.by_name) // 2 + 1
 
-    def lost_since(self) -> list[float]:
+    def lost_times_ms(self) -> list[float]:
         """Give since when each lost keeper is lost."""
-        lost = (link.lost_ms for link in self.ordered())
+        lost = (link.lost_since_ms for link in self.ordered())
         return [since_ms for since_ms in lost if since_ms is not None]
 
     @property
-    def can_decide(self) -> bool:
+    def has_majority(self) -> bool:
         """Tell whether a majority of the keepers answers."""
-        answering = len(self.members.by_name) - len(self.lost_since())
+        answering = len(self.members.by_name) - len(self.lost_times_ms())
         return answering >= self.majority
 
     @property
-    def undecided_ms(self) -> float:
+    def without_majority_ms(self) -> float:
         """Give for how long no majority has answered; 0 while one does."""
-        if self.can_decide:
+        if self.has_majority:
             return 0
-        since_ms = max(self.lost_since(), default=self.clock.now_ms())
+        since_ms = max(self.lost_times_ms(), default=self.clock.now_ms())
         return self.clock.now_ms() - since_ms
 
     async def ask(self, link: KeeperLink, message: Any) -> Any:
@@ -123,19 +123,19 @@
         Raises:
             PollenwalkError: it gave no answer, or is known to give none.
         """
-        if link.lost_ms is not None:
+        if link.lost_since_ms is not None:
             raise ConnectionLost(f'{link.member.name} is lost')
         try:
             return await link.peer.ask(message, ASK_TIMEOUT_MS)
         except ConnectionLost as error:
-            self.lose(link, error)
+            self.mark_lost(link, error)
             raise
 
-    def lose(self, link: KeeperLink, error: PollenwalkError) -> None:
+    def mark_lost(self, link: KeeperLink, error: PollenwalkError) -> None:
         """Take a keeper for lost and begin to probe it."""
-        if link.lost_ms is not None:
+        if link.lost_since_ms is not None:
             return
-        link.lost_ms = self.clock.now_ms()
+        link.lost_since_ms = self.clock.now_ms()
         logger.warning(
             'keeper_lost',
             keeper=link.member.name,
@@ -153,8 +153,8 @@
                 # Already logged as lost.
                 await self.clock.sleep_ms(PROBE_EVERY_MS)
                 continue
-            since_ms = link.lost_ms or 0
-            link.lost_ms = None
+            since_ms = link.lost_since_ms or 0
+            link.lost_since_ms = None
             logger.info(
                 'keeper_regained',
                 keeper=link.member.name,
--- a/pollenwalk/process/keeper_members.py
+++ b/pollenwalk/process/keeper_members.py
@@ -47,7 +47,7 @@
         self.by_name: dict[str, Member] = {}
         self.loaded = False
 
-    def take(self, stored: StoredObject) -> None:
+    def apply_change(self, stored: StoredObject) -> None:
         """Take a change of one keeper's object."""
         name = stored.key.removeprefix(KEEPERS_PREFIX)
         if stored.body:
--- a/pollenwalk/process/keeper_state.py
+++ b/pollenwalk/process/keeper_state.py
@@ -51,7 +51,7 @@
         count = 0
         for record in self.log.open():
             count += 1
-            self.take(record)
+            self.apply_encoded(record)
         if first_start and not self.complete:
             self.log.mark_complete()
         logger.info(
@@ -61,7 +61,7 @@
             complete=self.complete,
         )
 
-    def take(self, record: bytes) -> None:
+    def apply_encoded(self, record: bytes) -> None:
         """Apply an encoded record that is on the disk."""
         try:
             message = decode_datagram(record)
@@ -86,7 +86,7 @@
         elif isinstance(message, SettleTokens):
             self.ledger.settle(message)
 
-    async def keep(self, message: Any) -> None:
+    async def store_record(self, message: Any) -> None:
         """Apply a record and wait until it is on the disk."""
         self.apply(message)
         await self.log.append(encode_datagram(message))
@@ -105,20 +105,22 @@
         """Encode all that is known of programs' tokens."""
         for program, account in list(self.ledger.accounts.items()):
             for entry in list(account.entries.values()):
-                yield encode_datagram(as_record(program, entry, account.kept_ms))
+                yield encode_datagram(entry_to_record(program, entry, account.kept_ms))
 
-    def scarce_turns(self, alive: Collection[str], copies: int) -> Iterator[bytes]:
+    def underreplicated_turns(
+        self, alive: Collection[str], required_copies: int
+    ) -> Iterator[bytes]:
         """Encode the turns of which fewer copies are left than needed.
 
         Args:
             alive: the keepers whose copies count.
-            copies: that are needed.
+            required_copies: that are needed.
         """
         for record in list(self.turns.records.values()):
-            if len(set(record.holders).intersection(alive)) < copies:
+            if len(set(record.holders).intersection(alive)) < required_copies:
                 yield encode_datagram(record)
 
-    async def take_over(self, records: Iterable[bytes]) -> int:
+    async def add_records(self, records: Iterable[bytes]) -> int:
         """Keep another keeper's records; gives how many were new."""
         new: list[bytes] = []
         for record in records:
@@ -140,12 +142,12 @@
 
     async def compact(self) -> None:
         """Write all that is held anew once the disk holds much that is over."""
-        if self.log.written < COMPACT_BYTES:
+        if self.log.bytes_since_compaction < COMPACT_BYTES:
             return
-        await self.log.begin_anew()
-        everything = (*self.account_records(), *self.scarce_turns((), 1))
+        await self.log.start_compaction()
+        everything = (*self.account_records(), *self.underreplicated_turns((), 1))
         await asyncio.gather(*map(self.log.append, everything))
-        await self.log.drop_older()
+        await self.log.finish_compaction()
         logger.info('compacted', records=len(everything))
 
     def expire(self) -> None:
@@ -154,7 +156,7 @@
         self.ledger.expire()
 
 
-def as_record(program: str, entry: TokenEntry, kept_ms: float) -> Any:
+def entry_to_record(program: str, entry: TokenEntry, kept_ms: float) -> Any:
     """Turn an entry of an account back into the record that made it."""
     if entry.settled:
         return SettleTokens(program, entry.turn, entry.tokens, kept_ms)
--- a/pollenwalk/process/prefix_watcher.py
+++ b/pollenwalk/process/prefix_watcher.py
@@ -24,18 +24,18 @@
     """Who hears of what is followed.
 
     Attributes:
-        take: gets each object; it must bear one that it has seen. An object
+        on_object: gets each object; it must bear one that it has seen. An object
             that is gone comes without a body, also when it went while the
             store could not be watched.
-        after_read: called after each answer.
-        on_loss: called when the store gave no answer.
+        on_read: called after each answer.
+        on_unavailable: called when the store gave no answer.
         relay: lists the prefix by way of another process while the store
             gives no answer here; None where that can't be done either.
     """
 
-    take: Callable[[StoredObject], None]
-    after_read: Callable[[], None] | None = None
-    on_loss: Callable[[StoreUnavailable], None] | None = None
+    on_object: Callable[[StoredObject], None]
+    on_read: Callable[[], None] | None = None
+    on_unavailable: Callable[[StoreUnavailable], None] | None = None
     relay: Callable[[str], Awaitable[Changes | None]] | None = None
 
 
@@ -72,7 +72,7 @@
         self.wait_ms = int(wait_ms)
         self.revision: int | None = None
         self.checked = 0
-        self.known: set[str] = set()
+        self.known_keys: set[str] = set()
 
     async def run(self) -> None:
         """Follow until cancelled."""
@@ -81,28 +81,28 @@
             try:
                 changed = await self.read()
             except StoreUnavailable as error:
-                if self.handlers.on_loss is not None:
-                    self.handlers.on_loss(error)
-                await self.read_elsewhere()
+                if self.handlers.on_unavailable is not None:
+                    self.handlers.on_unavailable(error)
+                await self.read_via_relay()
                 await backoff.pause()
                 continue
             backoff = Backoff(self.clock)
-            self.tell(changed)
+            self.notify(changed)
 
-    def tell(self, changed: list[StoredObject]) -> None:
+    def notify(self, changed: list[StoredObject]) -> None:
         """Hand over what was read."""
         for stored in changed:
-            self.handlers.take(stored)
-        if self.handlers.after_read is not None:
-            self.handlers.after_read()
+            self.handlers.on_object(stored)
+        if self.handlers.on_read is not None:
+            self.handlers.on_read()
 
-    async def read_elsewhere(self) -> None:
+    async def read_via_relay(self) -> None:
         """List by way of another process, if there is one."""
         if self.handlers.relay is None:
             return
         listing = await self.handlers.relay(self.prefix)
         if listing is not None and listing.revision >= self.checked:
-            self.tell(self.list_anew(listing))
+            self.notify(self.apply_listing(listing))
 
     async def read(self) -> list[StoredObject]:
         """Read everything at first, then what is newer than the last read.
@@ -111,7 +111,7 @@
             StoreUnavailable: the store gave no answer.
         """
         if self.revision is None:
-            return self.list_anew(await self.store.scan(self.prefix))
+            return self.apply_listing(await self.store.scan(self.prefix))
         try:
             changes = await self.store.watch(
                 self.prefix,
@@ -128,32 +128,32 @@
             self.note_object(stored)
         return changes.objects
 
-    def list_anew(self, listing: Changes) -> list[StoredObject]:
+    def apply_listing(self, listing: Changes) -> list[StoredObject]:
         """Add a deletion for each object that is no longer listed."""
         self.revision = listing.revision
         self.checked = max(self.checked, listing.revision)
         listed = {stored.key for stored in listing.objects}
         gone = [
             StoredObject(key, b'', listing.revision)
-            for key in sorted(self.known - listed)
+            for key in sorted(self.known_keys - listed)
         ]
-        self.known = listed
+        self.known_keys = listed
         return [*listing.objects, *gone]
 
     def note_object(self, stored: StoredObject) -> None:
         """Remember whether an object is there."""
         if stored.body:
-            self.known.add(stored.key)
+            self.known_keys.add(stored.key)
         else:
-            self.known.discard(stored.key)
+            self.known_keys.discard(stored.key)
 
 
 async def watch_prefix(
     store: ObjectStore,
     clock: Clock,
     prefix: str,
-    take: Callable[[StoredObject], None],
-    after_read: Callable[[], None] | None = None,
+    on_object: Callable[[StoredObject], None],
+    on_read: Callable[[], None] | None = None,
 ) -> None:
     """Follow a prefix on its own, for ever."""
-    await PrefixWatcher(store, clock, prefix, WatchHandlers(take, after_read)).run()
+    await PrefixWatcher(store, clock, prefix, WatchHandlers(on_object, on_read)).run()
--- a/pollenwalk/process/record_log.py
+++ b/pollenwalk/process/record_log.py
@@ -25,11 +25,11 @@
 
     Attributes:
         complete: whether the disk holds all that was ever acknowledged.
-        written: bytes since the records were last written anew.
+        bytes_since_compaction: bytes since the records were last written anew.
     """
 
     complete: bool
-    written: int
+    bytes_since_compaction: int
 
     def open(self) -> Iterator[bytes]:
         """Give each record, then be ready to append."""
@@ -44,11 +44,11 @@
             OSError: the disk failed.
         """
 
-    async def begin_anew(self) -> None:
+    async def start_compaction(self) -> None:
         """Append from now on apart from all that is there."""
 
-    async def drop_older(self) -> None:
-        """Delete all that was there before the last `begin_anew`."""
+    async def finish_compaction(self) -> None:
+        """Delete all that was there before the last `start_compaction`."""
 
     def mark_complete(self) -> None:
         """Remember across restarts that the disk is complete."""
@@ -76,7 +76,7 @@
         """Keep segments in `folder`."""
         self.folder = folder
         self.segment = 0
-        self.written = 0
+        self.bytes_since_compaction = 0
         self.handle = -1
         self.complete = False
         self.waiting: list[Waiting] = []
@@ -99,7 +99,7 @@
         self.complete = COMPLETE_MARK in os.listdir(self.folder)
         for segment in self.segments():
             payload = self.path(segment).read_bytes()
-            self.written += len(payload)
+            self.bytes_since_compaction += len(payload)
             yield from read_frames(payload)
         self.begin_segment()
 
@@ -118,12 +118,12 @@
         os.fsync(self.handle)
         sync_folder(self.folder)
 
-    async def begin_anew(self) -> None:
+    async def start_compaction(self) -> None:
         """Begin a segment behind what is being written."""
         await self.on_disk(self.begin_segment)
-        self.written = 0
+        self.bytes_since_compaction = 0
 
-    async def drop_older(self) -> None:
+    async def finish_compaction(self) -> None:
         """Delete all segments but the last."""
         await self.on_disk(self.remove_older)
 
@@ -165,7 +165,7 @@
         while view:
             view = view[os.write(self.handle, view) :]
         os.fdatasync(self.handle)
-        self.written += len(payload)
+        self.bytes_since_compaction += len(payload)
 
     def close(self) -> None:
         """Close the file."""
--- a/pollenwalk/process/recorder.py
+++ b/pollenwalk/process/recorder.py
@@ -27,7 +27,7 @@
 SETTLE_TIMEOUT_MS = 1000
 RETRY_AFTER_MS = 1000
 
-Build = Callable[[], list[Record]]
+BuildRecords = Callable[[], list[Record]]
 
 
 class Recorder:
@@ -46,18 +46,20 @@
         self.clock = clock
         self.tasks = tasks
         self.settled: dict[str, list[str]] = {}
-        self.touched: Callable[[list[Record], int], None] = lambda records, segment: (
-            None
+        self.on_committed: Callable[[list[Record], int], None] = (
+            lambda records, segment: None
         )
 
-    def record_later(self, live: LiveProgram, build: Build) -> asyncio.Task[None]:
+    def record_later(
+        self, live: LiveProgram, build: BuildRecords
+    ) -> asyncio.Task[None]:
         """Record in the background, in the order of these calls."""
-        return self.tasks.spawn(self.locked(live, build), 'record')
+        return self.tasks.spawn(self.commit_locked(live, build), 'record')
 
     async def record(
         self,
         live: LiveProgram,
-        build: Build,
+        build: BuildRecords,
         wait_ms: float | None = None,
     ) -> None:
         """Record and wait until it is durable and applied.
@@ -83,7 +85,7 @@
         except TimeoutError as error:
             raise store_unavailable() from error
 
-    async def locked(self, live: LiveProgram, build: Build) -> None:
+    async def commit_locked(self, live: LiveProgram, build: BuildRecords) -> None:
         """Compute, commit and apply under the program's lock."""
         async with live.lock:
             records = build()
@@ -95,9 +97,9 @@
         await self.journal.commit(records)
         for record in records:
             self.book.apply(record)
-        self.touched(records, segment)
+        self.on_committed(records, segment)
 
-    async def confirm(self, wait_ms: float) -> None:
+    async def confirm_ownership(self, wait_ms: float) -> None:
         """Prove that this home still owns its programs.
 
         Raises:
@@ -111,7 +113,7 @@
         """Let a sidecar drop a call whose result is durable."""
         self.settled.setdefault(address, []).append(call)
 
-    async def send_settled(self, peers: PeerSource) -> None:
+    async def send_settlements(self, peers: PeerSource) -> None:
         """Tell the sidecars in batches, for as long as the home lives."""
         while True:
             await self.clock.sleep_ms(SETTLE_PAUSE_MS)
--- a/pollenwalk/process/retirement.py
+++ b/pollenwalk/process/retirement.py
@@ -1,4 +1,4 @@
-"""How a keeper is emptied before its host is taken away.
+"""How a keeper is replicate_elsewhere before its host is taken away.
 
 It takes no new turns, sees to it that every turn it holds is on enough other
 disks, leaves the list and only then says that it is done.
@@ -16,7 +16,7 @@
     decode_retirement,
     retirement_status,
 )
-from pollenwalk.process.keeper import Keeper, in_batches, store_lost
+from pollenwalk.process.keeper import Keeper, batched, log_store_unavailable
 from pollenwalk.process.keeper_members import Member
 from pollenwalk.process.prefix_watcher import PrefixWatcher, WatchHandlers
 from pollenwalk.process.store import ObjectStore, StoredObject
@@ -50,9 +50,9 @@
         self.key = f'{RETIREMENTS_KIND}{keeper.settings.name}'
         self.begun = False
 
-    async def follow(self) -> None:
+    async def watch_requests(self) -> None:
         """Follow the requests for as long as the process lives."""
-        handlers = WatchHandlers(self.take, on_loss=store_lost)
+        handlers = WatchHandlers(self.on_request, on_unavailable=log_store_unavailable)
         await PrefixWatcher(
             self.store,
             self.keeper.clock,
@@ -61,7 +61,7 @@
             wait_ms=REQUEST_WAIT_MS,
         ).run()
 
-    def take(self, stored: StoredObject) -> None:
+    def on_request(self, stored: StoredObject) -> None:
         """Take a request; the first one for this keeper begins the work."""
         if stored.key != self.key or not stored.body or self.begun:
             return
@@ -77,24 +77,26 @@
     async def run(self) -> None:
         """Empty this keeper and say so."""
         keeper = self.keeper
-        keeper.own = keeper.own._replace(retiring=True)
+        keeper.own_member = keeper.own_member._replace(retiring=True)
         await self.report(False)
-        while not await self.emptied():
+        while not await self.replicate_elsewhere():
             await keeper.clock.sleep_ms(TRY_AGAIN_MS)
         keeper.retired = True
-        await keeper.remove(keeper.own)
+        await keeper.remove(keeper.own_member)
         await self.report(True)
         logger.info('retired', turns=len(keeper.state.turns.records))
 
     async def report(self, done: bool) -> None:
         """Write the status, however long the store is away."""
         status = retirement_status(done)
-        await self.keeper.insist(lambda: self.store.report(self.key, status))
+        await self.keeper.retry_until_acknowledged(
+            lambda: self.store.report(self.key, status)
+        )
 
-    async def emptied(self) -> bool:
+    async def replicate_elsewhere(self) -> bool:
         """Copy what others lack; False where it could not all be done."""
-        others = [one for one in self.keeper.others() if not one.retiring]
-        if len(others) < self.keeper.copies:
+        others = [one for one in self.keeper.other_members() if not one.retiring]
+        if len(others) < self.keeper.required_copies:
             logger.warning('retirement_waits', others=len(others))
             return False
         try:
@@ -113,7 +115,7 @@
     async def push_turns(self, member: Member, others: list[Member]) -> None:
         """Give another keeper the turns that it is to hold and lacks."""
         held = (
-            record._replace(holders=self.new_holders(record, others))
+            record._replace(holders=self.choose_replicas(record, others))
             for record in list(self.keeper.state.turns.records.values())
         )
         records = {one.turn: one for one in held if member.name in one.holders}
@@ -125,15 +127,15 @@
         lacking = (encode_datagram(records[turn]) for turn in missing.turns)
         await self.push(member, lacking)
 
-    def new_holders(self, record: TurnRecord, others: list[Member]) -> list[str]:
+    def choose_replicas(self, record: TurnRecord, others: list[Member]) -> list[str]:
         """Choose who holds a turn from now on: its holders, then the nearest."""
         names = [one.name for one in others]
         staying = [name for name in names if name in record.holders]
         fresh = [name for name in names if name not in record.holders]
-        return [*staying, *fresh][: self.keeper.copies]
+        return [*staying, *fresh][: self.keeper.required_copies]
 
     async def push(self, member: Member, records: Iterable[bytes]) -> None:
         """Give another keeper records, in batches."""
         link = self.keeper.links.link(member)
-        for batch in in_batches(records):
+        for batch in batched(records):
             await self.keeper.links.ask(link, PushRecords(batch))
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -144,7 +144,7 @@
             Refusal: neither the store nor the witnesses answer.
         """
         try:
-            await self.parts.recorder.confirm(INTENT_WAIT_MS)
+            await self.parts.recorder.confirm_ownership(INTENT_WAIT_MS)
         except TimeoutError as error:
             raise store_unavailable() from error
 
--- a/pollenwalk/request/program_turn.py
+++ b/pollenwalk/request/program_turn.py
@@ -64,7 +64,7 @@
         request = self.call.request
         if not self.call.route.keeps_history or not request.traits.previous:
             return request.body
-        chain = await self.group.chain(request.traits.previous)
+        chain = await self.group.load_chain(request.traits.previous)
         return prompt_of(chain, request.body)
 
     async def before_event(self, event: Event) -> None:
@@ -113,7 +113,9 @@
         )
         begun_ms = self.group.clock.now_ms()
         # Copies that were made before count: a record never changes.
-        keeping = self.group.insist(lambda: self.group.keep(record))
+        keeping = self.group.retry_until_acknowledged(
+            lambda: self.group.store_turn(record)
+        )
         holders = await self.require(keeping)
         took_ms = self.group.clock.now_ms() - begun_ms
         self.metrics.keep_seconds.observe({}, took_ms / MS_PER_SECOND)
--- a/pollenwalk/request/reservation.py
+++ b/pollenwalk/request/reservation.py
@@ -77,7 +77,7 @@
         Raises:
             Refusal: the budget is spent.
         """
-        await self.group.insist(self.recorded_again)
+        await self.group.retry_until_acknowledged(self.recorded_again)
 
     async def recorded_again(self) -> None:
         """Wait for the recording; where keepers were silent, begin a new one."""
@@ -130,10 +130,10 @@
         disks = 0
         # The list of keepers may change before they have answered.
         majority = self.group.links.majority
-        async for spent in self.group.answers(self.message):
+        async for spent in self.group.ask_all(self.message):
             disks += 1
             self.take(spent, known)
-            if len(known) >= majority and disks >= self.group.copies:
+            if len(known) >= majority and disks >= self.group.required_copies:
                 return known
         raise keepers_unavailable(f'{len(known)} of {majority} know the budget')
 
@@ -142,7 +142,7 @@
         if not spent.complete:
             return
         known.append(spent.entries)
-        if self.permitted.done() or not self.group.links.can_decide:
+        if self.permitted.done() or not self.group.links.has_majority:
             return
         verdict = self.judged(known)
         if self.has_headroom(verdict, len(known)):
--- a/standin/memory_disk.py
+++ b/standin/memory_disk.py
@@ -16,7 +16,7 @@
         self.records: list[bytes] = []
         self.older = 0
         self.complete = False
-        self.written = 0
+        self.bytes_since_compaction = 0
         self.sync_ms = SYNC_MS
 
     def open(self) -> Iterator[bytes]:
@@ -27,17 +27,17 @@
         """Write a record; it is there once the sync has ended."""
         await self.clock.sleep_ms(self.sync_ms)
         self.records.append(record)
-        self.written += len(record)
+        self.bytes_since_compaction += len(record)
 
     async def run(self) -> None:
         """Do nothing: `append` writes by itself."""
 
-    async def begin_anew(self) -> None:
+    async def start_compaction(self) -> None:
         """Remember what is older."""
         self.older = len(self.records)
-        self.written = 0
+        self.bytes_since_compaction = 0
 
-    async def drop_older(self) -> None:
+    async def finish_compaction(self) -> None:
         """Delete what is older."""
         self.records = self.records[self.older :]
 
--- a/test/process/test_host_table.py
+++ b/test/process/test_host_table.py
@@ -39,8 +39,8 @@
     def table(self, clock: Clock) -> HostTable:
         """Make a table of two hosts."""
         table = HostTable(clock)
-        table.take(entry('i-1', 1))
-        table.take(entry('i-2', 2))
+        table.apply_change(entry('i-1', 1))
+        table.apply_change(entry('i-2', 2))
         return table
 
     def usable(self, table: HostTable) -> list[str]:
@@ -50,13 +50,13 @@
     @virtual
     async def test_leaving_hosts_take_no_new_calls(self) -> None:
         table = self.table(make_clock())
-        table.take(entry('i-1', 3, state='draining'))
+        table.apply_change(entry('i-1', 3, state='draining'))
         self.assertEqual(['i-2'], self.usable(table))
 
     @virtual
     async def test_gone_at_once_while_the_store_is_well(self) -> None:
         table = self.table(make_clock())
-        table.take(gone('i-1', 3))
+        table.apply_change(gone('i-1', 3))
         self.assertEqual(['i-2'], self.usable(table))
 
     @virtual
@@ -65,10 +65,10 @@
         table = self.table(clock)
         table.store_failed()
         table.store_answered()
-        table.take(gone('i-1', 3))
-        table.take(gone('i-2', 4))
+        table.apply_change(gone('i-1', 3))
+        table.apply_change(gone('i-2', 4))
         await clock.sleep_ms(LISTED_AGAIN_MS - 100)
-        table.take(entry('i-2', 5))
+        table.apply_change(entry('i-2', 5))
         self.assertEqual(['i-1', 'i-2'], self.usable(table))
         await clock.sleep_ms(200)
         self.assertEqual(['i-2'], self.usable(table))
@@ -78,7 +78,7 @@
         """Another process may have told of it."""
         table = self.table(make_clock())
         table.store_failed()
-        table.take(gone('i-1', 3))
+        table.apply_change(gone('i-1', 3))
         self.assertEqual(['i-1', 'i-2'], self.usable(table))
 
     @virtual
@@ -88,21 +88,21 @@
         table.store_failed()
         table.store_answered()
         await clock.sleep_ms(STORE_UNSETTLED_MS + 1)
-        table.take(gone('i-1', 3))
+        table.apply_change(gone('i-1', 3))
         self.assertEqual(['i-2'], self.usable(table))
 
     @virtual
     async def test_an_unreadable_entry_changes_nothing(self) -> None:
         table = self.table(make_clock())
-        table.take(StoredObject('servers/i-1', b'nonsense', 3))
-        table.take(entry('i-3', 4, slots='eight'))
+        table.apply_change(StoredObject('servers/i-1', b'nonsense', 3))
+        table.apply_change(entry('i-3', 4, slots='eight'))
         self.assertEqual(['i-1', 'i-2'], self.usable(table))
 
     @virtual
     async def test_a_new_start_under_the_same_id_knows_nothing(self) -> None:
         table = self.table(make_clock())
         table.states['i-1'].record_failure(0)
-        table.take(entry('i-1', 3, born=7))
+        table.apply_change(entry('i-1', 3, born=7))
         self.assertEqual(0, table.states['i-1'].failures)
 
     @virtual
--- a/test/process/test_keepers.py
+++ b/test/process/test_keepers.py
@@ -69,7 +69,7 @@
         if not state.complete:
             keeper.tasks.spawn(Joining(keeper).run(), 'join')
         retirement = Retirement(keeper, self.store)
-        keeper.tasks.spawn(retirement.follow(), 'retirement')
+        keeper.tasks.spawn(retirement.watch_requests(), 'retirement')
         self.nodes[name] = node
         self.keepers[name] = keeper
         return keeper
@@ -99,7 +99,7 @@
         tasks = TaskSet()
         network = VirtualNetwork(self.fabric, node)
         links = KeeperLinks(network, clock, tasks, zone, REGIONS)
-        handlers = WatchHandlers(links.members.take, links.members.mark_loaded)
+        handlers = WatchHandlers(links.members.apply_change, links.members.mark_loaded)
         follower = PrefixWatcher(self.store, clock, KEEPERS_PREFIX, handlers)
         tasks.spawn(follower.run(), 'follow')
         return KeeperGroup(links, clock, tasks, 1)
@@ -140,7 +140,7 @@
         world = World()
         group = await world.three_and_group()
         before_ms = world.clock.now_ms()
-        await group.keep(record('t1'))
+        await group.store_turn(record('t1'))
         self.assertTrue(world.clock.now_ms() - before_ms < 10)
         self.assertEqual({'a', 'b'}, world.holders('t1'))
 
@@ -149,17 +149,17 @@
         world = World()
         group = await world.three_and_group()
         await world.kill('b')
-        await group.keep(record('t1'))
+        await group.store_turn(record('t1'))
         self.assertEqual({'a', 'c'}, world.holders('t1'))
 
     @virtual
     async def test_a_silent_keeper_is_passed_over(self) -> None:
         world = World()
         group = await world.three_and_group()
-        await group.keep(record('t0'))
+        await group.store_turn(record('t0'))
         world.fabric.cut('gateway', 'b')
         before_ms = world.clock.now_ms()
-        await group.keep(record('t1'))
+        await group.store_turn(record('t1'))
         took_ms = world.clock.now_ms() - before_ms
         self.assertTrue(took_ms < NEAR_HEDGE_MS + 2 * ROUND_TRIP_MS + SLACK_MS)
         self.assertEqual({'a', 'c'}, world.holders('t1'))
@@ -171,7 +171,7 @@
         await world.kill('b')
         await world.kill('c')
         with testtools.ExpectedException(Refusal):
-            await group.keep(record('t1'))
+            await group.store_turn(record('t1'))
 
     @virtual
     async def test_a_lost_keeper_is_regained(self) -> None:
@@ -180,12 +180,12 @@
         await world.kill('b')
         await world.kill('c')
         with testtools.ExpectedException(Refusal):
-            await group.keep(record('t1'))
-        self.assertTrue(group.links.undecided_ms >= 0)
+            await group.store_turn(record('t1'))
+        self.assertTrue(group.links.without_majority_ms >= 0)
         await world.keeper('b')
         await world.wait(1500)
-        await group.keep(record('t2'))
-        self.assertEqual(0, group.links.undecided_ms)
+        await group.store_turn(record('t2'))
+        self.assertEqual(0, group.links.without_majority_ms)
 
 
 class ChainsTest(testtools.TestCase):
@@ -198,24 +198,24 @@
         first = world.group()
         second = world.group('other', 'c')
         await world.wait(500)
-        await first.keep(record('t1'))
-        await first.keep(record('t2', 't1'))
-        await second.keep(record('t3', 't2'))
-        chain = await second.chain('t3')
+        await first.store_turn(record('t1'))
+        await first.store_turn(record('t2', 't1'))
+        await second.store_turn(record('t3', 't2'))
+        chain = await second.load_chain('t3')
         self.assertEqual(['t1', 't2', 't3'], [one.turn for one in chain])
 
     @virtual
     async def test_after_all_were_killed(self) -> None:
         world = World()
         group = await world.three_and_group()
-        await group.keep(record('t1'))
+        await group.store_turn(record('t1'))
         await forget(group)
         for name in 'abc':
             await world.kill(name)
         for name in 'abc':
             await world.keeper(name)
         await world.wait(2000)
-        chain = await group.chain('t1')
+        chain = await group.load_chain('t1')
         self.assertEqual(['t1'], [one.turn for one in chain])
 
     @virtual
@@ -227,7 +227,7 @@
             if victim != 'none':
                 await world.kill(victim)
             try:
-                await group.chain('never')
+                await group.load_chain('never')
             except Refusal as refusal:
                 codes.append(refusal.code)
         self.assertEqual(
@@ -243,7 +243,7 @@
     async def test_an_empty_disk_never_says_no(self) -> None:
         world = World()
         group = await world.three_and_group('c')
-        await group.keep(record('t1'))
+        await group.store_turn(record('t1'))
         await forget(group)
         self.assertEqual({'c', 'a'}, world.holders('t1'))
         for name in 'ac':
@@ -253,7 +253,7 @@
         await world.wait(500)
         error = None
         try:
-            await group.chain('t1')
+            await group.load_chain('t1')
         except Refusal as refusal:
             error = refusal
         assert error is not None
@@ -267,7 +267,7 @@
     async def test_a_wiped_disk_is_filled_again(self) -> None:
         world = World()
         group = await world.three_and_group()
-        await group.keep(record('t1'))
+        await group.store_turn(record('t1'))
         await forget(group)
         await world.kill('a')
         world.disks['a'].wipe()
@@ -276,14 +276,14 @@
         self.assertTrue(keeper.state.complete)
         self.assertEqual({'a', 'b'}, world.holders('t1'))
         await world.kill('b')
-        chain = await group.chain('t1')
+        chain = await group.load_chain('t1')
         self.assertEqual(['t1'], [one.turn for one in chain])
 
     @virtual
     async def test_a_new_keeper_replaces_one_that_is_gone(self) -> None:
         world = World()
         group = await world.three_and_group()
-        await group.keep(record('t1'))
+        await group.store_turn(record('t1'))
         await world.kill('a')
         await world.keeper('d')
         await world.wait(6000)
@@ -307,7 +307,7 @@
     async def test_a_retired_keeper_is_not_needed(self) -> None:
         world = World()
         group = await world.three_and_group()
-        await group.keep(record('t1'))
+        await group.store_turn(record('t1'))
         await forget(group)
         await world.store.put('retirements/a', b'{"duration_s": 8}', None)
         await world.wait(4000)
@@ -316,17 +316,19 @@
         await world.kill('a')
         await world.kill('b')
         world.disks['b'].wipe()
-        chain = await group.chain('t1')
+        chain = await group.load_chain('t1')
         self.assertEqual(['t1'], [one.turn for one in chain])
 
     @virtual
     async def test_a_retiring_keeper_takes_no_turns(self) -> None:
         world = World()
         group = await world.three_and_group()
-        world.keepers['a'].own = world.keepers['a'].own._replace(retiring=True)
-        await group.keep(record('t1'))
+        world.keepers['a'].own_member = world.keepers['a'].own_member._replace(
+            retiring=True
+        )
+        await group.store_turn(record('t1'))
         self.assertEqual({'b', 'c'}, world.holders('t1'))
-        self.assertEqual(0, group.links.undecided_ms)
+        self.assertEqual(0, group.links.without_majority_ms)
 
     @virtual
     async def test_retirement_while_the_store_is_away(self) -> None:
@@ -344,10 +346,10 @@
         await world.three()
         keeper = world.keepers['a']
         for number in range(20):
-            await keeper.state.keep(record(f't{number}'))
+            await keeper.state.store_record(record(f't{number}'))
         await world.wait(RETENTION_MS * 3)
-        await keeper.state.keep(record('young'))
-        world.disks['a'].written = 1_000_000_000
+        await keeper.state.store_record(record('young'))
+        world.disks['a'].bytes_since_compaction = 1_000_000_000
         await keeper.state.compact()
         self.assertEqual(1, len(keeper.state.turns.records))
         left = [one for one in world.disks['a'].records if b't1' in one]
@@ -392,7 +394,7 @@
         known: set[str] = set()
         voices = 0
         message = ReserveTokens('p', turn, 10, RETENTION_MS)
-        async for spent in group.answers(message):
+        async for spent in group.ask_all(message):
             voices += 1
             known |= {entry.turn for entry in spent.entries}
             if voices >= group.links.majority:
--- a/test/request/test_program_turn.py
+++ b/test/request/test_program_turn.py
@@ -146,7 +146,7 @@
         for number in range(5):
             spent = SettleTokens('p', f'old{number}', MOST, 1000)
             for name in ('b', 'c'):
-                await world.keepers[name].state.keep(spent)
+                await world.keepers[name].state.store_record(spent)
         world.fabric.slow_ms['gateway', 'b'] = 200
         world.fabric.slow_ms['gateway', 'c'] = 200
         turn = self.turn(group, make_call('t1', 5 * MOST))
@@ -195,7 +195,7 @@
         world.fabric.heal()
         await world.wait(1000)
         await ending
-        self.assertEqual(['t1'], [one.turn for one in await group.chain('t1')])
+        self.assertEqual(['t1'], [one.turn for one in await group.load_chain('t1')])
         turn.close()
 
     @virtual
@@ -271,7 +271,7 @@
     async def test_a_forged_previous_turn(self) -> None:
         world = World()
         group = await world.three_and_group()
-        await group.keep(record('real'))
+        await group.store_turn(record('real'))
         turn = self.turn(group, make_call('t1', 1000, 'forged'))
         error = await self.refusal(turn)
         self.assertEqual(RefusalCode.UNKNOWN_TURN, error.code)
