--- a/pollenwalk/platform/headers.py
+++ b/pollenwalk/platform/headers.py
@@ -2,7 +2,12 @@
 
 from collections.abc import Iterable
 
-from pollenwalk.request.traits import AnswerHead, Headers, PromptPart, Traits
+from pollenwalk.request.http_messages import (
+    AnswerHead,
+    Headers,
+    PromptPart,
+    RequestMetadata,
+)
 
 MS_PER_SECOND = 1000
 PREFIX = b'x-pollenwalk-'
@@ -28,7 +33,7 @@
 KEEP_ALIVE = b'keep-alive'
 ENCODING = b'content-encoding'
 
-ONE_CONNECTION = frozenset(
+HOP_BY_HOP = frozenset(
     (
         b'connection',
         KEEP_ALIVE,
@@ -44,7 +49,7 @@
     ),
 )
 # Only this system may set these.
-SET_BY_US = frozenset(
+RESERVED = frozenset(
     (
         DEADLINE,
         EXPECT_INSTANCE,
@@ -60,21 +65,21 @@
 MISDIRECTED = 421
 
 
-def read_traits(headers: Iterable[tuple[bytes, bytes]]) -> Traits:
+def read_request_metadata(headers: Iterable[tuple[bytes, bytes]]) -> RequestMetadata:
     """Decode what a request says of itself; bad numbers count as absent."""
     found = {name: field.decode('latin-1').strip() for name, field in headers}
     prompt, most = read_pair(found.get(TOKENS, ''))
-    return Traits(
+    return RequestMetadata(
         id=found.get(REQUEST_ID, ''),
         deadline_ms=read_float(found.get(DEADLINE)),
         program=found.get(PROGRAM, ''),
         session=found.get(SESSION, ''),
-        program_rest_ms=read_float(found.get(PROGRAM_DEADLINE)),
+        program_remaining_ms=read_float(found.get(PROGRAM_DEADLINE)),
         budget=read_int(found.get(BUDGET)),
         prompt_tokens=prompt,
-        most_tokens=most,
+        max_tokens=most,
         expected_tokens=read_int(found.get(LENGTH_HINT)) or 0,
-        parts=read_parts(found.get(PARTS, '')),
+        prompt_parts=read_parts(found.get(PARTS, '')),
         previous=found.get(PREVIOUS, ''),
         resumes=LAST_EVENT in found,
     )
@@ -106,24 +111,28 @@
     return tuple(PromptPart(name, read_int(size) or 0) for name, _, size in pairs)
 
 
-def named_by_connection(headers: Iterable[tuple[bytes, bytes]]) -> frozenset[bytes]:
+def connection_options(headers: Iterable[tuple[bytes, bytes]]) -> frozenset[bytes]:
     """Give the headers that a `Connection` header claims for itself."""
     named = b','.join(field for name, field in headers if name == b'connection')
     return frozenset(one.strip().lower() for one in named.split(b','))
 
 
-def pass_on(headers: Headers) -> Headers:
+def end_to_end_headers(headers: Headers) -> Headers:
     """Leave out what concerns one connection."""
-    dropped = ONE_CONNECTION | named_by_connection(headers)
+    dropped = HOP_BY_HOP | connection_options(headers)
     return [(name, field) for name, field in headers if name not in dropped]
 
 
-def request_headers(headers: Headers) -> Headers:
+def forwardable_headers(headers: Headers) -> Headers:
     """Leave out what concerns one connection and what only we may set."""
-    return [(name, field) for name, field in pass_on(headers) if name not in SET_BY_US]
+    return [
+        (name, field)
+        for name, field in end_to_end_headers(headers)
+        if name not in RESERVED
+    ]
 
 
-def sent_headers(
+def added_headers(
     host: str,
     deadline_ms: float,
     priority: int | None,
@@ -154,19 +163,19 @@
     return RETRY_AFTER, f'{retry_after_ms / MS_PER_SECOND:.3f}'.encode()
 
 
-def read_answer(status: int, headers: Headers) -> AnswerHead:
+def read_answer_head(status: int, headers: Headers) -> AnswerHead:
     """Decode the beginning of an upstream host's answer."""
     found = {name: field.decode('latin-1').strip() for name, field in headers}
     retry_s = read_float(found.get(RETRY_AFTER))
     return AnswerHead(
         status=status,
-        headers=pass_on(headers),
+        headers=end_to_end_headers(headers),
         request=found.get(REQUEST_ID, ''),
         signed=SIGNATURE in found,
         refused=NOT_EXECUTED in found or status == MISDIRECTED,
         encoded=ENCODING in found,
         load=read_load(found.get(LOAD, '')),
-        keep_ms=read_keep_alive(found.get(KEEP_ALIVE, '')),
+        keep_alive_ms=read_keep_alive(found.get(KEEP_ALIVE, '')),
         retry_after_ms=None if retry_s is None else retry_s * MS_PER_SECOND,
     )
 
--- a/pollenwalk/process/adoption.py
+++ b/pollenwalk/process/adoption.py
@@ -10,15 +10,11 @@
     encode_record,
     record_key,
 )
-from pollenwalk.process.home import Home
+from pollenwalk.process.program_owner import ProgramOwner
 from pollenwalk.process.segments import JournalContent, segment_key
 from pollenwalk.process.store import Backoff, ObjectStore, StoredObject
-from pollenwalk.process.takeover import (
-    Takeover,
-    adopted_incarnations,
-    replay,
-)
-from pollenwalk.program.program import ProgramBook, snapshot_of
+from pollenwalk.process.takeover import Takeover, adopted_incarnations, replay
+from pollenwalk.program.program import ProgramTable, snapshot_of
 from pollenwalk.program.records import Adopted, Claimed, Snapshot
 
 CHUNK_BYTES = 300_000
@@ -29,13 +25,13 @@
 
     def __init__(
         self,
-        home: Home,
+        owner: ProgramOwner,
         takeover: Takeover,
         store: ObjectStore,
         directory: Directory,
     ) -> None:
         """Adopt into `home`."""
-        self.home = home
+        self.owner = owner
         self.takeover = takeover
         self.store = store
         self.directory = directory
@@ -52,8 +48,8 @@
             Fenced: this home has itself been sealed.
         """
         if dead not in self.adopted:
-            owner = await self.takeover.owner(dead)
-            if owner != self.takeover.successor:
+            owner_id = await self.takeover.claim_ownership(dead)
+            if owner_id != self.takeover.successor:
                 return False
             await self.adopt_and_name(dead)
         await self.name_successor(dead)
@@ -64,41 +60,41 @@
 
         Other entries look into our journal to see whether we have adopted.
         """
-        self.home.adopting += 1
+        self.owner.adopting += 1
         try:
             await self.adopt(dead)
             await self.name_successor(dead)
         finally:
-            self.home.adopting -= 1
+            self.owner.adopting -= 1
 
     async def adopt(self, dead: str) -> None:
         """Copy all programs, then make the copy count."""
         sealed = await self.takeover.read_sealed(dead)
-        book = replay(sealed)
-        await self.copy(book, dead)
-        self.home.book.join(book)
-        self.home.recovery.recover(book.programs.values())
+        table = replay(sealed)
+        await self.copy(table, dead)
+        self.owner.table.merge(table)
+        self.owner.recovery.recover(table.programs.values())
         inherited = adopted_incarnations(sealed)
         self.adopted.update(dict.fromkeys([dead, *sorted(inherited)]))
-        logger.info('entry_adopted', dead=dead, programs=len(book.programs))
+        logger.info('entry_adopted', dead=dead, programs=len(table.programs))
         for incarnation in sorted(inherited):
             await self.name_successor(incarnation)
         await self.delete_segments(dead, sealed.content)
 
-    async def copy(self, book: ProgramBook, dead: str) -> None:
+    async def copy(self, table: ProgramTable, dead: str) -> None:
         """Commit all programs and settled keys, then make them count."""
-        journal = self.home.parts.recorder.journal
-        for chunk in chunks(book, dead):
+        journal = self.owner.context.recorder.journal
+        for chunk in chunks(table, dead):
             await journal.commit(chunk)
         claims = [
             Claimed(caller, key, program)
-            for (caller, key), program in book.claims.items()
+            for (caller, key), program in table.claims.items()
         ]
         await journal.commit([*claims, Adopted(dead)])
 
     async def name_successor(self, dead: str) -> None:
         """Write into a dead entry's record who has its programs."""
-        backoff = Backoff(self.home.parts.clock)
+        backoff = Backoff(self.owner.context.clock)
         while not await self.successor_named(dead):
             await backoff.pause()
 
@@ -133,16 +129,16 @@
                 return
 
 
-def chunks(book: ProgramBook, origin: str) -> list[list[Snapshot]]:
-    """Split a book into commits of bounded size."""
-    parts: list[list[Snapshot]] = [[]]
+def chunks(table: ProgramTable, origin: str) -> list[list[Snapshot]]:
+    """Split a table into commits of bounded size."""
+    context: list[list[Snapshot]] = [[]]
     size = 0
-    for program in book.programs.values():
+    for program in table.programs.values():
         snapshot = snapshot_of(program, origin)
         weight = len(msgspec.msgpack.encode(snapshot))
-        if parts[-1] and size + weight > CHUNK_BYTES:
-            parts.append([])
+        if context[-1] and size + weight > CHUNK_BYTES:
+            context.append([])
             size = 0
-        parts[-1].append(snapshot)
+        context[-1].append(snapshot)
         size += weight
-    return [part for part in parts if part]
+    return [part for part in context if part]
--- a/pollenwalk/process/beginnings.py
+++ b/pollenwalk/process/beginnings.py
@@ -5,9 +5,9 @@
 
 from pollenwalk.connection.wire import BeginProgram
 from pollenwalk.errors import Refusal, RefusalCode
-from pollenwalk.policy.door import has_room
-from pollenwalk.process.home_work import HomeWork
+from pollenwalk.policy.program_admission import has_capacity
 from pollenwalk.process.ids import new_program_id
+from pollenwalk.process.owner_interface import OwnerInterface
 from pollenwalk.process.recorder import store_unavailable
 from pollenwalk.program.budget import Budget
 from pollenwalk.program.live import LiveProgram
@@ -17,7 +17,7 @@
 
 BEGIN_WAIT_MS = 2000
 RETRY_AFTER_MS = 1000
-DOOR_RETRY_MS = (500, 2000)
+ADMISSION_RETRY_MS = (500, 2000)
 KEY_RETAIN_MS = 600_000
 
 
@@ -31,10 +31,10 @@
 class Beginnings:
     """Programs that begin at one home, and keys that it settles."""
 
-    def __init__(self, home: HomeWork) -> None:
+    def __init__(self, owner: OwnerInterface) -> None:
         """Begin programs at `home`."""
-        self.home = home
-        self.parts = home.parts
+        self.owner = owner
+        self.context = owner.context
         self.beginning: dict[tuple[str, str], Beginning] = {}
         self.claiming: dict[tuple[str, str], asyncio.Task[None]] = {}
         self.claimed_ms: dict[tuple[str, str], float] = {}
@@ -48,8 +48,8 @@
         known = self.known(request)
         if known is not None:
             return self.repeated(known, request)
-        self.home.check_open()
-        spec = self.parts.config.program(request.declaration)
+        self.owner.check_open()
+        spec = self.context.config.program(request.declaration)
         if spec is None:
             raise Refusal(
                 RefusalCode.UNKNOWN_DECLARATION,
@@ -70,7 +70,7 @@
             Fenced: this home has a successor; ask there.
         """
         try:
-            async with self.parts.clock.timeout_ms(BEGIN_WAIT_MS):
+            async with self.context.clock.timeout_ms(BEGIN_WAIT_MS):
                 await asyncio.shield(task)
         except TimeoutError as error:
             raise store_unavailable() from error
@@ -81,20 +81,20 @@
         Raises:
             Refusal: its parent had given its tokens away meanwhile.
         """
-        if program_id not in self.home.book.programs:
+        if program_id not in self.owner.table.programs:
             raise Refusal(
                 RefusalCode.BUDGET_EXHAUSTED,
                 'the parent has too few tokens to give',
             )
-        return self.home.find(program_id).program
+        return self.owner.find(program_id).program
 
     def known(self, request: BeginProgram) -> Program | None:
         """Give the program that was begun with this key or id."""
-        book = self.home.book
+        table = self.owner.table
         program_id = request.program
         if request.key:
-            program_id = book.by_key.get((request.caller, request.key), program_id)
-        return book.programs.get(program_id)
+            program_id = table.ids_by_key.get((request.caller, request.key), program_id)
+        return table.programs.get(program_id)
 
     async def claim(self, caller: str, key: str, program: str) -> str:
         """Settle which program a key has begun; the first claim wins.
@@ -112,19 +112,21 @@
             Fenced: this home has a successor; ask there.
         """
         identity = (caller, key)
-        known = self.home.book.claims.get(identity)
+        known = self.owner.table.claims.get(identity)
         if known or not program:
             return known or ''
-        self.home.check_open()
+        self.owner.check_open()
         task = self.claiming.get(identity)
         if task is None:
             record = Claimed(caller, key, program)
-            task = self.home.tasks.spawn(self.parts.recorder.commit([record]), 'claim')
+            task = self.owner.tasks.spawn(
+                self.context.recorder.commit([record]), 'claim'
+            )
             self.claiming[identity] = task
             task.add_done_callback(lambda _: self.claiming.pop(identity, None))
         await self.durable(task)
-        self.claimed_ms[identity] = self.parts.clock.now_ms()
-        return self.home.book.claims[identity]
+        self.claimed_ms[identity] = self.context.clock.now_ms()
+        return self.owner.table.claims[identity]
 
     def repeated(self, program: Program, request: BeginProgram) -> Program:
         """Check that a repeat asks for the same program."""
@@ -138,8 +140,8 @@
     def new_id(self, incarnation: str = '') -> str:
         """Make a program id that carries its home, this one unless named."""
         return new_program_id(
-            incarnation or self.parts.incarnation,
-            self.parts.dice,
+            incarnation or self.context.incarnation,
+            self.context.rng,
         )
 
     def begin_new(self, request: BeginProgram, spec: ProgramSpec) -> Beginning:
@@ -154,7 +156,7 @@
             request.key,
             request.parent or '',
             limit,
-            Budget(limit).ahead(spec.reserve_tokens),
+            Budget(limit).cap_reserve_ahead(spec.reserve_tokens),
             min(request.deadline_ms or spec.deadline_ms, spec.deadline_ms),
         )
         beginning = Beginning(program_id, self.record(record))
@@ -165,10 +167,10 @@
 
     def record(self, record: Begun) -> asyncio.Task[None]:
         """Start to record a beginning, a child's under its parent's lock."""
-        recorder = self.parts.recorder
+        recorder = self.context.recorder
         if not record.parent:
-            return self.home.tasks.spawn(recorder.commit([record]), 'begin')
-        parent = self.home.find(record.parent)
+            return self.owner.tasks.spawn(recorder.commit([record]), 'begin')
+        parent = self.owner.find(record.parent)
         return recorder.record_later(parent, lambda: self.carved(parent, record))
 
     def carved(self, parent: LiveProgram, record: Begun) -> list[Record]:
@@ -187,10 +189,10 @@
             self.check_parent(request.parent, limit)
             return
         self.check_room(request)
-        budget = self.parts.config.budget(request.caller)
+        budget = self.context.config.budget(request.caller)
         running = [
             program
-            for program in self.home.book.programs.values()
+            for program in self.owner.table.programs.values()
             if program.caller == request.caller and not program.ended
         ]
         promised = sum(program.budget.limit for program in running)
@@ -209,16 +211,16 @@
             Refusal: with a time to come back, drawn so that not all come
                 back at once.
         """
-        spec = self.parts.config.program(request.declaration)
-        level = self.parts.config.level(spec.priority)
+        spec = self.context.config.program(request.declaration)
+        level = self.context.config.level(spec.priority)
         for name in spec.upstreams:
-            upstream = self.parts.config.upstream(name)
-            hosts = self.parts.fleet.views(name)
-            if upstream and upstream.kind == 'model' and not has_room(hosts, level):
+            upstream = self.context.config.upstream(name)
+            hosts = self.context.fleet.views(name)
+            if upstream and upstream.kind == 'model' and not has_capacity(hosts, level):
                 raise Refusal(
                     RefusalCode.OVERLOADED,
                     f'{name} has too many calls waiting',
-                    retry_after_ms=self.parts.dice.randint(*DOOR_RETRY_MS),
+                    retry_after_ms=self.context.rng.randint(*ADMISSION_RETRY_MS),
                 )
 
     def check_parent(self, parent_id: str, limit: int) -> None:
@@ -227,7 +229,7 @@
         Raises:
             Refusal: it has ended, or has too few.
         """
-        parent = self.home.find(parent_id)
+        parent = self.owner.find(parent_id)
         if parent.program.ended or parent.ending:
             raise Refusal(RefusalCode.PROGRAM_ENDED, 'the parent has ended')
         if limit > parent.program.budget.free:
@@ -238,9 +240,9 @@
 
     def drop_claims(self) -> None:
         """Forget keys whose retention has passed."""
-        now_ms = self.parts.clock.now_ms()
-        for identity in list(self.home.book.claims):
+        now_ms = self.context.clock.now_ms()
+        for identity in list(self.owner.table.claims):
             claimed_ms = self.claimed_ms.setdefault(identity, now_ms)
             if now_ms - claimed_ms > KEY_RETAIN_MS:
-                self.home.book.claims.pop(identity)
+                self.owner.table.claims.pop(identity)
                 self.claimed_ms.pop(identity)
--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -14,10 +14,7 @@
     decode_datagram,
     encode_datagram,
 )
-from pollenwalk.errors import (
-    Refusal,
-    StoreUnavailable,
-)
+from pollenwalk.errors import Refusal, StoreUnavailable
 from pollenwalk.policy.placement import ExpectedFinish, Placement
 from pollenwalk.process.acceptance import Acceptance
 from pollenwalk.process.adoption import Adoption
@@ -32,13 +29,13 @@
 )
 from pollenwalk.process.entry_service import EntryService
 from pollenwalk.process.fleet import Fleet, Location
-from pollenwalk.process.home import Home
 from pollenwalk.process.host_list import HostList, follow_hosts
 from pollenwalk.process.journal import Journal
 from pollenwalk.process.liveness import LOOK_MS, OBSERVERS, Liveness
 from pollenwalk.process.neighbours import Neighbours
 from pollenwalk.process.pacing import Pace
 from pollenwalk.process.peers import Peers
+from pollenwalk.process.program_owner import ProgramOwner
 from pollenwalk.process.recorder import Recorder
 from pollenwalk.process.store import ObjectStore, create_once
 from pollenwalk.process.subsets import Subsets
@@ -46,8 +43,8 @@
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.process.traces import Tracer
 from pollenwalk.process.witness import WitnessLog
-from pollenwalk.program.program import ProgramBook
-from pollenwalk.request.parts import Parts
+from pollenwalk.program.program import ProgramTable
+from pollenwalk.request.entry_context import EntryContext
 from pollenwalk.request.retry import RetryBudgets
 from pollenwalk.request.routing import Routing
 from pollenwalk.version.config import Accepted, Configuration
@@ -91,7 +88,7 @@
         network: Network,
         store: ObjectStore,
         clock: Clock,
-        dice: random.Random,
+        rng: random.Random,
         tracer: Tracer,
         placement: Placement | None = None,
         hosts: HostList | None = None,
@@ -101,7 +98,7 @@
         self.network = network
         self.store = store
         self.clock = clock
-        self.dice = dice
+        self.rng = rng
         self.tracer = tracer
         self.hosts = hosts
         self.placement = placement or ExpectedFinish()
@@ -120,7 +117,7 @@
         self.neighbours = Neighbours(self)
         self.ready = False
         self.stopping = False
-        self.home_tasks = TaskSet()
+        self.owner_tasks = TaskSet()
         self.incarnate()
 
     async def take_over(self, dead: str) -> bool:
@@ -146,15 +143,15 @@
 
     def incarnate(self) -> None:
         """Begin a new incarnation with no programs."""
-        self.incarnation = f'{self.dice.getrandbits(ID_BITS):012x}'
+        self.incarnation = f'{self.rng.getrandbits(ID_BITS):012x}'
         self.started_ms = self.clock.wall_ms()
         self.peers.identify(self.incarnation, self.settings.zone)
         self.journal = Journal(
             self.store,
             self.clock,
-            self.home_tasks,
+            self.owner_tasks,
             self.incarnation,
-            self.dice,
+            self.rng,
         )
         self.journal.interval_ms = self.settings.journal_interval_ms
         self.journal.pace = Pace(
@@ -164,12 +161,12 @@
         )
         self.journal.peers = self.peers.at
         self.journal.on_fenced = self.fenced
-        book = ProgramBook()
-        recorder = Recorder(self.journal, book, self.clock, self.home_tasks)
-        parts = Parts(
+        table = ProgramTable()
+        recorder = Recorder(self.journal, table, self.clock, self.owner_tasks)
+        context = EntryContext(
             self.incarnation,
             self.clock,
-            self.dice,
+            self.rng,
             self.location,
             self.config,
             self.fleet,
@@ -179,23 +176,23 @@
             recorder,
             self.tracer,
         )
-        self.home = Home(parts, book, self.home_tasks)
-        self.compaction = Compaction(self.home, self.store)
+        self.owner = ProgramOwner(context, table, self.owner_tasks)
+        self.compaction = Compaction(self.owner, self.store)
         self.takeover = Takeover(
             self.store,
             self.clock,
             self.peers.at,
             self.witness_log,
             self.incarnation,
-            self.dice,
+            self.rng,
         )
         self.adoption = Adoption(
-            self.home,
+            self.owner,
             self.takeover,
             self.store,
             self.directory,
         )
-        self.routing = Routing(self.home, self.directory, self.peers.at, self.location)
+        self.routing = Routing(self.owner, self.directory, self.peers.at, self.location)
         self.service = EntryService(self)
         self.server = PeerServer(self.clock, self.service.handle, self.incarnation)
 
@@ -231,7 +228,7 @@
             await self.clock.sleep_ms(DRAIN_CHECK_MS)
         self.journal.start()
         self.compaction.start()
-        self.home.start()
+        self.owner.start()
         self.ready = True
         logger.info('entry_ready', incarnation=own.incarnation)
 
@@ -245,14 +242,14 @@
     def fenced(self) -> None:
         """Go on as a new incarnation: a successor has our programs."""
         self.ready = False
-        self.home.abandon()
+        self.owner.abandon()
         if not self.stopping:
             self.tasks.spawn(self.reincarnate(), 'reincarnate')
 
     async def reincarnate(self) -> None:
         """Leave the old programs to their successor and register anew."""
-        old_tasks = self.home_tasks
-        self.home_tasks = TaskSet()
+        old_tasks = self.owner_tasks
+        self.owner_tasks = TaskSet()
         await self.server.close()
         self.incarnate()
         await self.register()
@@ -338,12 +335,12 @@
                     return
             await self.clock.sleep_ms(LOOK_MS)
         self.journal.closing = False
-        self.home.stopping = True
+        self.owner.stopping = True
 
     async def close(self) -> None:
         """End everything at once."""
         self.ready = False
-        await self.home_tasks.cancel()
+        await self.owner_tasks.cancel()
         await self.tasks.cancel()
         await self.server.close()
         await self.peers.close()
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -10,7 +10,7 @@
 from pollenwalk.connection.channel import StreamNetwork
 from pollenwalk.connection.link_pool import LinkPool
 from pollenwalk.errors import Outcome, Refusal, RefusalCode, StoreUnavailable
-from pollenwalk.platform.documents import CONFIGURATION_KIND, HOSTS_KIND
+from pollenwalk.platform.documents import CONFIGURATION_PREFIX, HOSTS_PREFIX
 from pollenwalk.policy.host_choice import EarliestFinish
 from pollenwalk.process.call_placer import CallPlacer
 from pollenwalk.process.clock import Clock
@@ -22,15 +22,15 @@
 from pollenwalk.process.prefix_watcher import PrefixWatcher, WatchHandlers
 from pollenwalk.process.store import ObjectStore
 from pollenwalk.process.tasks import TaskSet
-from pollenwalk.request.call_state import Call, end_of_wait
-from pollenwalk.request.plain import run_plain
+from pollenwalk.request.call_sender import ForwardingContext
+from pollenwalk.request.call_state import Call, call_deadline_ms
+from pollenwalk.request.http_messages import Request
 from pollenwalk.request.program_turn import ProgramTurn
 from pollenwalk.request.reply import Reply
-from pollenwalk.request.sends import Upstreams
-from pollenwalk.request.streamed import Turn, UnboundTurn, run_stream
-from pollenwalk.request.traits import Request
-from pollenwalk.version.in_force import InForce
-from pollenwalk.version.routes import Configuration, Route
+from pollenwalk.request.streaming import StandaloneTurn, Turn, run_stream
+from pollenwalk.request.unary import run_unary
+from pollenwalk.version.active_configuration import ActiveConfiguration
+from pollenwalk.version.routes import Route, RoutingConfiguration
 
 # Retry-After before the configuration is known: a start takes about a second.
 STARTING_RETRY_MS = 500
@@ -80,26 +80,28 @@
         store: ObjectStore,
         network: StreamNetwork,
         clock: Clock,
-        dice: random.Random,
+        rng: random.Random,
     ) -> None:
         """Prepare; nothing is known yet."""
         self.settings = settings
         self.store = store
         self.clock = clock
         self.tasks = TaskSet()
-        self.in_force = InForce()
+        self.active_configuration = ActiveConfiguration()
         self.host_table = HostTable(clock)
         self.pool = LinkPool(clock)
         self.stopping = False
         call_placer = CallPlacer(
             clock,
             self.host_table,
-            EarliestFinish(dice),
+            EarliestFinish(rng),
             settings.zone,
             settings.regions,
         )
         self.metrics = GatewayMetrics()
-        self.upstreams = Upstreams(clock, self.pool, call_placer, self.metrics, dice)
+        self.forwarding_context = ForwardingContext(
+            clock, self.pool, call_placer, self.metrics, rng
+        )
         self.links = KeeperLinks(
             network,
             clock,
@@ -117,21 +119,21 @@
     @property
     def ready(self) -> bool:
         """Tell whether new callers may come."""
-        known = self.in_force.current is not None and self.host_table.loaded
+        known = self.active_configuration.current is not None and self.host_table.loaded
         known = known and self.links.members.loaded
         decided = self.links.without_majority_ms < UNDECIDED_MS
         return known and decided and not self.stopping
 
     def max_body_bytes(self) -> int:
         """Give the largest body that a caller may send now."""
-        current = self.in_force.current
+        current = self.active_configuration.current
         return current.limits.max_body_bytes if current else STARTING_BODY_BYTES
 
     async def start(self) -> None:
         """Follow the store."""
         relay = self.keepers.read_prefix
         configuration = WatchHandlers(
-            self.in_force.take,
+            self.active_configuration.apply,
             self.host_table.store_answered,
             lambda error: self.store_failed('configuration', error),
             relay,
@@ -150,8 +152,8 @@
         )
         wait_ms = self.settings.change_delay_ms * CONFIGURATION_SHARE
         members_wait_ms = self.settings.leave_notice_ms * MEMBERS_SHARE
-        self.follow(CONFIGURATION_KIND, configuration, wait_ms)
-        self.follow(HOSTS_KIND, hosts, members_wait_ms)
+        self.follow(CONFIGURATION_PREFIX, configuration, wait_ms)
+        self.follow(HOSTS_PREFIX, hosts, members_wait_ms)
         self.follow(KEEPERS_PREFIX, keepers, members_wait_ms)
 
     def follow(
@@ -184,7 +186,7 @@
 
     def refresh_metrics(self) -> None:
         """Set the gauges."""
-        current = self.in_force.current
+        current = self.active_configuration.current
         links = self.links.ordered()
         self.metrics.version.set({}, current.version if current else 0)
         self.metrics.hosts.set({}, len(self.host_table.states))
@@ -225,9 +227,9 @@
 
     async def run_in_time(self, call: Call, reply: Reply) -> None:
         """Run a call until the caller or the route stops waiting."""
-        rest_ms = call.rest_ms(self.clock.now_ms())
+        remaining_ms = call.remaining_ms(self.clock.now_ms())
         try:
-            async with self.clock.timeout_ms(rest_ms):
+            async with self.clock.timeout_ms(remaining_ms):
                 await self.run(call, reply)
         except TimeoutError as error:
             raise deadline_passed() from error
@@ -238,7 +240,7 @@
         Raises:
             Refusal: there is none, or the request has no id.
         """
-        current = self.in_force.current
+        current = self.active_configuration.current
         if current is None:
             raise Refusal(
                 RefusalCode.NOT_CONFIGURED,
@@ -251,23 +253,23 @@
                 RefusalCode.UNKNOWN_ROUTE,
                 f'no route at version {current.version}',
             )
-        if not request.traits.id:
+        if not request.metadata.id:
             raise Refusal(RefusalCode.MALFORMED, 'the request has no id')
         return make_call(current, route, request)
 
     async def run(self, call: Call, reply: Reply) -> None:
         """Run a call the way its route asks for."""
-        if call.route.streams:
-            await run_stream(self.upstreams, call, self.turn_of(call), reply)
+        if call.route.is_streaming:
+            await run_stream(self.forwarding_context, call, self.turn_of(call), reply)
         else:
-            await run_plain(self.upstreams, call, reply)
+            await run_unary(self.forwarding_context, call, reply)
 
     def turn_of(self, call: Call) -> Turn:
         """Tell what a stream means to its program."""
         keeps = call.route.keeps_history
-        if keeps or call.request.traits.budget is not None:
+        if keeps or call.request.metadata.budget is not None:
             return ProgramTurn(self.keepers, call, self.metrics)
-        return UnboundTurn(call.request.body)
+        return StandaloneTurn(call.request.body)
 
 
 def deadline_passed() -> Refusal:
@@ -275,15 +277,15 @@
     return Refusal(RefusalCode.DEADLINE, 'the time is over', Outcome.UNKNOWN)
 
 
-def make_call(current: Configuration, route: Route, request: Request) -> Call:
+def make_call(current: RoutingConfiguration, route: Route, request: Request) -> Call:
     """Choose the upstream of a call and the end of its time."""
-    traits = request.traits
+    metadata = request.metadata
     return Call(
         request=request,
         route=route,
-        upstream=pick_upstream(route, traits.program or traits.id),
+        upstream=pick_upstream(route, metadata.program or metadata.id),
         version=current.version,
-        ends_ms=end_of_wait(request, route),
+        deadline_at_ms=call_deadline_ms(request, route),
         tokens_per_event=current.tokens_per_event(route),
     )
 
--- a/pollenwalk/process/keeper_group.py
+++ b/pollenwalk/process/keeper_group.py
@@ -91,7 +91,7 @@
         """
         links = [link for link in self.links.ordered() if not link.member.retiring]
         names = [link.member.name for link in links[: self.required_copies]]
-        held = record._replace(holders=names)
+        held = record._replace(replicas=names)
         await TurnReplication(self.links, held, links, self.required_copies).make()
         self.cache.put(held)
         return names
@@ -120,7 +120,7 @@
         Raises:
             Refusal: it does not exist, or nobody can be certain.
         """
-        found = self.cache.chain(turn)
+        found = self.cache.use_chain(turn)
         turns = found.turns
         while found.missing:
             found = await self.find_chain(found.missing)
--- a/pollenwalk/process/metrics.py
+++ b/pollenwalk/process/metrics.py
@@ -7,7 +7,7 @@
 from aioprometheus import Counter, Gauge, Registry, Summary, render
 
 from pollenwalk.errors import Refusal
-from pollenwalk.process.entry_work import EntryWork
+from pollenwalk.process.entry_interface import EntryInterface
 
 
 class EntryMetrics:
@@ -69,13 +69,13 @@
         yield
         self.call_seconds.observe({}, time.perf_counter() - begun)
 
-    def render(self, entry: EntryWork) -> tuple[bytes, str]:
+    def render(self, entry: EntryInterface) -> tuple[bytes, str]:
         """Read the gauges off an entry and give the text of all metrics."""
-        self.programs.set({}, len(entry.home.book.programs))
+        self.programs.set({}, len(entry.owner.table.programs))
         self.pending.set({}, len(entry.journal.pending))
         self.segments.set({}, entry.journal.segments_written)
         self.hosts.set({}, len(entry.fleet.hosts))
         self.forwarded.set({}, entry.routing.forwarded)
-        self.version.set({}, entry.config.newest())
+        self.version.set({}, entry.config.highest_version())
         body, headers = render(self.registry, ['text/plain'])
         return body, headers['Content-Type']
--- a/pollenwalk/process/home.py
+++ b/pollenwalk/process/program_owner.py
@@ -7,17 +7,13 @@
 from collections.abc import AsyncIterator, Coroutine, Iterator
 from typing import Any
 
-from pollenwalk.connection.wire import (
-    Answer,
-    CallProgram,
-    Tokens,
-)
+from pollenwalk.connection.wire import Answer, CallProgram, Tokens
 from pollenwalk.errors import (
     Outcome,
     PollenwalkError,
     Refusal,
     RefusalCode,
-    sealed,
+    fenced_error,
 )
 from pollenwalk.process.beginnings import Beginnings
 from pollenwalk.process.ids import unknown_program
@@ -26,15 +22,11 @@
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.process.upkeep import Upkeep
 from pollenwalk.program.live import LiveProgram
-from pollenwalk.program.program import FinishedCall, Program, ProgramBook
-from pollenwalk.program.records import (
-    Ended,
-    Forfeited,
-    Record,
-)
+from pollenwalk.program.program import FinishedCall, Program, ProgramTable
+from pollenwalk.program.records import Ended, Forfeited, Record
 from pollenwalk.request.call import LiveCall, check_request
+from pollenwalk.request.entry_context import EntryContext
 from pollenwalk.request.execution import Execution, doubted
-from pollenwalk.request.parts import Parts
 
 END_WAIT_MS = 2000
 RENEW_MS = 5000
@@ -55,13 +47,15 @@
 ID_BITS = 64
 
 
-class Home:
+class ProgramOwner:
     """All programs of one incarnation."""
 
-    def __init__(self, parts: Parts, book: ProgramBook, tasks: TaskSet) -> None:
-        """Start with the programs in `book`."""
-        self.parts = parts
-        self.book = book
+    def __init__(
+        self, context: EntryContext, table: ProgramTable, tasks: TaskSet
+    ) -> None:
+        """Start with the programs in `table`."""
+        self.context = context
+        self.table = table
         self.tasks = tasks
         self.live: dict[str, LiveProgram] = {}
         self.stopping = False
@@ -73,7 +67,7 @@
     def start(self) -> None:
         """Start the background work."""
         self.tasks.spawn(
-            self.parts.recorder.send_settlements(self.parts.peers), 'settle'
+            self.context.recorder.send_settlements(self.context.peers), 'settle'
         )
         self.upkeep.start()
 
@@ -91,12 +85,12 @@
         Raises:
             Refusal: there is no such program.
         """
-        program = self.book.programs.get(program_id)
+        program = self.table.programs.get(program_id)
         if program is None:
             raise unknown_program(program_id)
         live = self.live.get(program_id)
         if live is None or live.program is not program:
-            live = LiveProgram(program, self.parts.clock)
+            live = LiveProgram(program, self.context.clock)
             self.live[program_id] = live
         return live
 
@@ -108,9 +102,9 @@
                 'this entry is stopping',
                 retry_after_ms=RETRY_AFTER_MS,
             )
-        if self.parts.recorder.journal.fenced:
-            raise sealed()
-        if self.parts.recorder.journal.stalled:
+        if self.context.recorder.journal.fenced:
+            raise fenced_error()
+        if self.context.recorder.journal.stalled:
             raise store_unavailable()
 
     async def call(self, request: CallProgram) -> AsyncIterator[Tokens | Answer]:
@@ -144,7 +138,7 @@
         if refusal.outcome != Outcome.NOT_RUN or refusal.code in ABOUT_FORM:
             return True
         live = self.live.get(request.program)
-        upstream = self.parts.config.upstream(request.upstream)
+        upstream = self.context.config.upstream(request.upstream)
         repeatable = upstream is not None and (request.operation in upstream.idempotent)
         if repeatable and live is not None and live.may_have_run(request):
             return False
@@ -157,7 +151,7 @@
             Fenced: this home has a successor; ask there.
         """
         try:
-            await self.parts.recorder.confirm_ownership(CONFIRM_WAIT_MS)
+            await self.context.recorder.confirm_ownership(CONFIRM_WAIT_MS)
         except TimeoutError:
             return False
         return True
@@ -165,7 +159,7 @@
     async def answer(self, request: CallProgram) -> AsyncIterator[Tokens | Answer]:
         """Find or start a call and follow it to its end."""
         live = self.find(request.program)
-        live.used_ms = self.parts.clock.now_ms()
+        live.last_used_ms = self.context.clock.now_ms()
         call = self.attach(live, request)
         if isinstance(call, FinishedCall):
             finished = call
@@ -185,7 +179,7 @@
         request: CallProgram,
     ) -> LiveCall | FinishedCall:
         """Find the call of a key, or accept it as a new one."""
-        call = LiveCall(request, self.parts.clock)
+        call = LiveCall(request, self.context.clock)
         known = live.calls.get(request.key)
         finished = live.program.finished.get(request.key)
         if known is not None:
@@ -209,8 +203,8 @@
 
     def check_declared(self, live: LiveProgram, request: CallProgram) -> None:
         """Check the upstream and the operation against the declarations."""
-        spec = self.parts.config.program(live.program.declaration)
-        upstream = self.parts.config.upstream(request.upstream)
+        spec = self.context.config.program(live.program.declaration)
+        upstream = self.context.config.upstream(request.upstream)
         if spec is None or upstream is None or request.upstream not in spec.upstreams:
             raise Refusal(
                 RefusalCode.UNKNOWN_UPSTREAM,
@@ -228,7 +222,7 @@
 
     def check_loops(self, live: LiveProgram, call: LiveCall) -> None:
         """Stop a program that repeats itself or goes on without end."""
-        spec = self.parts.config.program(live.program.declaration)
+        spec = self.context.config.program(live.program.declaration)
         if call.request.sequence > spec.max_calls:
             raise Refusal(
                 RefusalCode.LOOP_LIMIT,
@@ -245,23 +239,23 @@
     async def run(self, live: LiveProgram, call: LiveCall) -> None:
         """Run one call from its place in the order to its end."""
         try:
-            await live.take_turn(call)
-            call.finish(await Execution(self.parts, live, call).run())
+            await live.wait_for_predecessors(call)
+            call.finish(await Execution(self.context, live, call).run())
         except PollenwalkError as error:
             call.refuse(error)
         finally:
             if not call.done.done():
-                call.refuse(cancelled(call) if live.ending else sealed())
+                call.refuse(cancelled(call) if live.ending else fenced_error())
             live.calls.pop(call.request.key, None)
             live.tasks.pop(call.request.key, None)
-            live.used_ms = self.parts.clock.now_ms()
-            live.notify()
+            live.last_used_ms = self.context.clock.now_ms()
+            live.notify_waiting_calls()
 
     def abandon(self) -> None:
         """Let all calls go on at the successor: nothing counts here now."""
         for live in self.live.values():
             for call in list(live.calls.values()):
-                call.refuse(sealed())
+                call.refuse(fenced_error())
             for task in list(live.tasks.values()):
                 task.cancel()
 
@@ -274,7 +268,7 @@
         if live.program.ended:
             return live.program
         live.ending = True
-        live.notify()
+        live.notify_waiting_calls()
         for child in self.children(program_id):
             await self.end(child.id)
         cut_short = any(call.running for call in live.calls.values())
@@ -282,7 +276,7 @@
         records: list[Record] = [Ended(program_id)]
         if cut_short:
             records.insert(0, Forfeited(program_id))
-        await self.parts.recorder.record(live, lambda: records, END_WAIT_MS)
+        await self.context.recorder.record(live, lambda: records, END_WAIT_MS)
         self.tasks.spawn(self.upkeep.release(live.program), 'release')
         return live.program
 
@@ -290,7 +284,7 @@
         """Give the sub-agents of a program that still run."""
         return [
             program
-            for program in self.book.programs.values()
+            for program in self.table.programs.values()
             if program.parent == program_id and not program.ended
         ]
 
@@ -300,7 +294,7 @@
             if key not in live.program.intents:
                 task.cancel()
         while live.calls:
-            await live.wait_change(STOP_CHECK_MS)
+            await live.wait_for_change(STOP_CHECK_MS)
 
 
 def replayed_tokens(finished: FinishedCall, offset: int) -> Iterator[Tokens]:
--- a/pollenwalk/process/recorder.py
+++ b/pollenwalk/process/recorder.py
@@ -10,17 +10,13 @@
 from loguru import logger
 
 from pollenwalk.connection.wire import Settle
-from pollenwalk.errors import (
-    ConnectionLost,
-    Refusal,
-    RefusalCode,
-)
+from pollenwalk.errors import ConnectionLost, Refusal, RefusalCode
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.journal import Journal
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.process.witness import PeerSource
 from pollenwalk.program.live import LiveProgram
-from pollenwalk.program.program import ProgramBook
+from pollenwalk.program.program import ProgramTable
 from pollenwalk.program.records import Record
 
 SETTLE_PAUSE_MS = 200
@@ -36,13 +32,13 @@
     def __init__(
         self,
         journal: Journal,
-        book: ProgramBook,
+        table: ProgramTable,
         clock: Clock,
         tasks: TaskSet,
     ) -> None:
-        """Record into `journal`, then apply to `book`."""
+        """Record into `journal`, then apply to `table`."""
         self.journal = journal
-        self.book = book
+        self.table = table
         self.clock = clock
         self.tasks = tasks
         self.settled: dict[str, list[str]] = {}
@@ -96,7 +92,7 @@
         segment = self.journal.next_segment
         await self.journal.commit(records)
         for record in records:
-            self.book.apply(record)
+            self.table.apply(record)
         self.on_committed(records, segment)
 
     async def confirm_ownership(self, wait_ms: float) -> None:
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -10,8 +10,8 @@
     RefusalBody,
     RefusalCode,
 )
-from pollenwalk.process.home_work import HomeWork
-from pollenwalk.program.history import plain_entries
+from pollenwalk.process.owner_interface import OwnerInterface
+from pollenwalk.program.history import service_history_items
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.program.program import Program
 from pollenwalk.program.records import Finished, Intended, Withdrawn
@@ -24,26 +24,26 @@
 class Recovery:
     """Settles the intents of programs that a home has adopted."""
 
-    def __init__(self, home: HomeWork) -> None:
+    def __init__(self, owner: OwnerInterface) -> None:
         """Recover the programs of `home`."""
-        self.home = home
-        self.parts = home.parts
+        self.owner = owner
+        self.context = owner.context
 
     def recover(self, programs: Iterable[Program]) -> None:
         """Find out what became of the intents of adopted programs."""
         for program in programs:
-            live = self.home.find(program.id)
-            live.doubtful = program.next_sequence
+            live = self.owner.find(program.id)
+            live.doubtful_sequence = program.next_sequence
             for intent in list(program.intents.values()):
-                call = LiveCall(request_of(intent), self.parts.clock)
+                call = LiveCall(request_of(intent), self.context.clock)
                 live.calls[intent.key] = call
-                live.tasks[intent.key] = self.home.tasks.spawn(
+                live.tasks[intent.key] = self.owner.tasks.spawn(
                     self.recover_call(live, call, intent),
                     'recover',
                 )
             if program.ended:
-                self.home.tasks.spawn(
-                    self.home.release(program),
+                self.owner.tasks.spawn(
+                    self.owner.release(program),
                     'release',
                 )
 
@@ -55,11 +55,11 @@
     ) -> None:
         """Ask the sidecar that an intent names, and never dispatch again."""
         resolver = Resolver(
-            self.parts.peers(intent.address),
-            self.parts.clock,
+            self.context.peers(intent.address),
+            self.context.clock,
             intent.boot,
         )
-        until_ms = self.parts.clock.now_ms() + RECOVERY_MS
+        until_ms = self.context.clock.now_ms() + RECOVERY_MS
         try:
             answer = await resolver.resolve(call, intent.incarnation, until_ms)
             if answer is None:
@@ -73,7 +73,7 @@
         finally:
             live.calls.pop(intent.key, None)
             live.tasks.pop(intent.key, None)
-            live.notify()
+            live.notify_waiting_calls()
 
     async def withdraw(
         self,
@@ -85,12 +85,12 @@
 
         Where a caller waits for it, the call is then run for the first time.
         """
-        await self.parts.recorder.record(
+        await self.context.recorder.record(
             live,
             lambda: [Withdrawn(intent.program, intent.key)],
         )
         if call.stream.followers:
-            await self.home.run(live, call)
+            await self.owner.run(live, call)
             return
         call.refuse(
             Refusal(
@@ -115,7 +115,7 @@
             return
         entries = []
         if answer is not None:
-            entries = plain_entries(intent.operation, intent.argument, answer)
+            entries = service_history_items(intent.operation, intent.argument, answer)
         record = Finished(
             intent.program,
             intent.key,
@@ -124,14 +124,14 @@
             intent.upstream,
             intent.operation,
             answer,
-            RefusalBody.of(refusal) if refusal else None,
+            RefusalBody.from_refusal(refusal) if refusal else None,
             entries,
             0,
             live.program.budget.reserved,
             '',
         )
-        await self.parts.recorder.record(live, lambda: [record])
-        self.parts.recorder.settle(intent.address, call.id)
+        await self.context.recorder.record(live, lambda: [record])
+        self.context.recorder.settle(intent.address, call.id)
         call.finish(live.program.finished[intent.key])
 
 
--- a/pollenwalk/process/sidecar.py
+++ b/pollenwalk/process/sidecar.py
@@ -24,7 +24,7 @@
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.process.traces import Tracer
 from pollenwalk.process.upstream_calls import UpstreamCalls
-from pollenwalk.version.config import spec_from
+from pollenwalk.version.config import spec_from_json
 from pollenwalk.version.resources import Kind
 
 REPORT_MS = 1000
@@ -65,7 +65,7 @@
         network: Network,
         clock: Clock,
         upstream: Engine | Service,
-        dice: random.Random,
+        rng: random.Random,
         tracer: Tracer,
     ) -> None:
         """Stand beside `upstream`; nothing is started yet."""
@@ -73,7 +73,7 @@
         self.network = network
         self.clock = clock
         self.tasks = TaskSet()
-        self.boot = f'{dice.getrandbits(ID_BITS):016x}'
+        self.boot = f'{rng.getrandbits(ID_BITS):016x}'
         self.work = UpstreamCalls(upstream, clock, self.tasks, tracer)
         self.service = SidecarService(self)
         self.server = PeerServer(
@@ -162,9 +162,9 @@
             settings.address,
             settings.zone,
             self.reports,
-            self.work.admission.running,
-            len(self.work.admission.waiting),
-            self.work.admission.slots,
+            self.work.slot_queue.running,
+            len(self.work.slot_queue.waiting),
+            self.work.slot_queue.slots,
             self.leaving,
             self.spec_version,
             self.digest,
@@ -202,7 +202,7 @@
             return
         if message.version <= self.spec_version:
             return
-        self.work.spec = spec_from(Kind.UPSTREAM, message.spec)
+        self.work.spec = spec_from_json(Kind.UPSTREAM, message.spec)
         self.spec_version = message.version
-        self.work.admission.resize(self.work.spec.slots, self.work.spec.queue)
+        self.work.slot_queue.resize(self.work.spec.slots, self.work.spec.queue)
         self.send_report()
--- a/pollenwalk/process/takeover.py
+++ b/pollenwalk/process/takeover.py
@@ -22,7 +22,7 @@
 )
 from pollenwalk.process.store import ObjectStore, create_once, make_nonce
 from pollenwalk.process.witness import PeerSource, WitnessLog, seal_at_witness
-from pollenwalk.program.program import Program, ProgramBook
+from pollenwalk.program.program import Program, ProgramTable
 from pollenwalk.program.records import (
     Adopted,
     Record,
@@ -56,17 +56,17 @@
         peers: PeerSource,
         witness_log: WitnessLog,
         successor: str,
-        dice: random.Random,
+        rng: random.Random,
     ) -> None:
         """Prepare to act for the incarnation `successor`."""
-        self.dice = dice
+        self.rng = rng
         self.store = store
         self.clock = clock
         self.peers = peers
         self.witness_log = witness_log
         self.successor = successor
 
-    async def owner(self, dead: str) -> str:
+    async def claim_ownership(self, dead: str) -> str:
         """Seal a journal unless somebody has, and tell whose seal it is.
 
         Args:
@@ -92,7 +92,7 @@
             Whether the seal is ours.
         """
         seal = Segment(
-            make_nonce(self.dice),
+            make_nonce(self.rng),
             content.last_batch + 1,
             [],
             content.witnesses,
@@ -105,19 +105,19 @@
             logger.info('journal_sealed', dead=dead, by=self.successor)
         return ours
 
-    async def is_orphan(self, dead: str, owner: str) -> bool:
+    async def is_orphan(self, dead: str, owner_id: str) -> bool:
         """Tell whether the owner of a seal can never adopt any more.
 
         That is so once its own journal is sealed without the adoption in it.
         The adoption may only be missing there after the dead entry's record
         has named its successor, so the record is read last.
         """
-        if owner == self.successor:
+        if owner_id == self.successor:
             return False
-        content = await read_journal(self.store, owner)
+        content = await read_journal(self.store, owner_id)
         if not content.sealed_by:
             return False
-        sealed = await self.read_sealed(owner)
+        sealed = await self.read_sealed(owner_id)
         if dead in adopted_incarnations(sealed):
             return False
         stored = await self.store.get(record_key(dead))
@@ -157,25 +157,25 @@
         return None
 
 
-def replay(sealed: Sealed) -> ProgramBook:
+def replay(sealed: Sealed) -> ProgramTable:
     """Rebuild the programs of a sealed journal.
 
     Programs that were being adopted from a third journal count only when
     that adoption was completed.
     """
-    book = ProgramBook()
+    table = ProgramTable()
     arriving: dict[str, list[Snapshot]] = {}
     for record in sealed.records():
         if isinstance(record, Snapshot) and record.origin:
             arriving.setdefault(record.origin, []).append(record)
         elif isinstance(record, Adopted):
             for snapshot in arriving.pop(record.incarnation, []):
-                book.apply(snapshot)
+                table.apply(snapshot)
         else:
-            book.apply(record)
-    for program in book.programs.values():
+            table.apply(record)
+    for program in table.programs.values():
         mark_replayed(program, sealed.tail_lost)
-    return book
+    return table
 
 
 def mark_replayed(program: Program, tail_lost: bool) -> None:
--- a/pollenwalk/request/call.py
+++ b/pollenwalk/request/call.py
@@ -5,7 +5,7 @@
 from pollenwalk.connection.wire import CallProgram
 from pollenwalk.errors import Refusal, RefusalCode
 from pollenwalk.process.clock import Clock
-from pollenwalk.program.history import digest_of
+from pollenwalk.program.history import digest_json
 from pollenwalk.program.program import FinishedCall
 from pollenwalk.request.stream import TokenStream
 
@@ -15,7 +15,7 @@
 
 def request_digest(request: CallProgram) -> str:
     """Digest what a call asks for; its place in the order is not part."""
-    return digest_of(
+    return digest_json(
         [
             request.upstream,
             request.operation,
@@ -65,7 +65,7 @@
         """Name the call in every hop."""
         return f'{self.request.program}/{self.request.key}'
 
-    def left_ms(self) -> float:
+    def remaining_ms(self) -> float:
         """Give the time left until the deadline."""
         return self.deadline_ms - self.clock.now_ms()
 
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -7,19 +7,10 @@
 
 from pollenwalk.connection.peer import Connection
 from pollenwalk.connection.wire import Answer, HistoryItem
-from pollenwalk.errors import (
-    ConnectionLost,
-    Outcome,
-    Refusal,
-    RefusalBody,
-    RefusalCode,
-)
+from pollenwalk.errors import ConnectionLost, Outcome, Refusal, RefusalBody, RefusalCode
 from pollenwalk.policy.placement import HostView
 from pollenwalk.process.recorder import store_unavailable
-from pollenwalk.program.history import (
-    chat_entries,
-    plain_entries,
-)
+from pollenwalk.program.history import chat_history_items, service_history_items
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.program.program import FinishedCall
 from pollenwalk.program.records import (
@@ -32,7 +23,7 @@
 from pollenwalk.request.attempts import DEFAULT_MAX_TOKENS, RETRY_AFTER_MS, Attempts
 from pollenwalk.request.call import LiveCall
 from pollenwalk.request.dispatch import Resolver
-from pollenwalk.request.parts import Parts
+from pollenwalk.request.entry_context import EntryContext
 from pollenwalk.version.resources import ProgramSpec, UpstreamSpec
 
 INTENT_WAIT_MS = 2000
@@ -45,18 +36,20 @@
 class Execution:
     """One call's run."""
 
-    def __init__(self, parts: Parts, live: LiveProgram, call: LiveCall) -> None:
+    def __init__(
+        self, context: EntryContext, live: LiveProgram, call: LiveCall
+    ) -> None:
         """Prepare to run; the declarations are read now and stay."""
-        self.parts = parts
+        self.context = context
         self.live = live
         self.call = call
         self.program = live.program
         self.request = call.request
-        self.spec: UpstreamSpec = parts.config.upstream(call.request.upstream)
-        self.declaration: ProgramSpec = parts.config.program(
+        self.spec: UpstreamSpec = context.config.upstream(call.request.upstream)
+        self.declaration: ProgramSpec = context.config.program(
             live.program.declaration,
         )
-        self.attempts = Attempts(parts, live, call, self.spec)
+        self.attempts = Attempts(context, live, call, self.spec)
 
     async def run(self) -> FinishedCall:
         """Run the call to its final answer.
@@ -64,7 +57,7 @@
         Raises:
             Refusal: the call did not run and takes no place in the order.
         """
-        if not self.parts.recorder.journal.fresh:
+        if not self.context.recorder.journal.fresh:
             await self.confirm()
         if self.request.operation not in self.spec.idempotent:
             return await self.run_once()
@@ -131,7 +124,7 @@
         """Count a lost attempt's reservation as spent."""
         if not self.is_model:
             return
-        await self.parts.recorder.record(
+        await self.context.recorder.record(
             self.live,
             lambda: [Forfeited(self.program.id)],
         )
@@ -144,7 +137,7 @@
             Refusal: neither the store nor the witnesses answer.
         """
         try:
-            await self.parts.recorder.confirm_ownership(INTENT_WAIT_MS)
+            await self.context.recorder.confirm_ownership(INTENT_WAIT_MS)
         except TimeoutError as error:
             raise store_unavailable() from error
 
@@ -166,7 +159,7 @@
         while True:
             host = await self.attempts.pick()
             try:
-                return host, await self.parts.peers(host.address).connected()
+                return host, await self.context.peers(host.address).connected()
             except ConnectionLost:
                 await self.attempts.lost(host)
 
@@ -182,8 +175,8 @@
     async def resolve(self, host: HostView, connection: Connection) -> Ending:
         """Ask the sidecar what became of a call that was handed to it."""
         resolver = Resolver(
-            self.parts.peers(host.address),
-            self.parts.clock,
+            self.context.peers(host.address),
+            self.context.clock,
             connection.boot,
         )
         until_ms = self.call.deadline_ms + RESOLVE_GRACE_MS
@@ -195,7 +188,7 @@
 
     def note_maybe_ran(self) -> None:
         """Note that a try of this call may have run."""
-        self.live.maybe_ran[self.request.key] = None
+        self.live.maybe_ran_keys[self.request.key] = None
 
     async def reserve(self) -> int:
         """Make sure that the budget covers the call.
@@ -214,7 +207,7 @@
                 f'{self.program.budget.left} tokens are left',
             )
         if self.program.budget.reserved < wanted:
-            await self.parts.recorder.record(
+            await self.context.recorder.record(
                 self.live,
                 lambda: [Reserved(self.program.id, wanted)],
                 INTENT_WAIT_MS,
@@ -233,7 +226,7 @@
             self.request.argument,
             host.address,
             connection.boot,
-            self.parts.incarnation,
+            self.context.incarnation,
         )
 
     async def intend(self, host: HostView, connection: Connection) -> None:
@@ -245,13 +238,13 @@
         """
         intent = self.make_intent(host, connection)
         try:
-            await self.parts.recorder.record(
+            await self.context.recorder.record(
                 self.live,
                 lambda: [intent],
                 INTENT_WAIT_MS,
             )
         except Refusal:
-            self.parts.recorder.record_later(
+            self.context.recorder.record_later(
                 self.live,
                 lambda: [Withdrawn(self.program.id, self.request.key)],
             )
@@ -260,7 +253,7 @@
     async def withdraw(self) -> None:
         """Note that an intent was proven not to have run."""
         self.call.running = False
-        await self.parts.recorder.record(
+        await self.context.recorder.record(
             self.live,
             lambda: [Withdrawn(self.program.id, self.request.key)],
         )
@@ -277,15 +270,15 @@
             self.request.upstream,
             self.request.operation,
             answer,
-            RefusalBody.of(refusal) if refusal else None,
+            RefusalBody.from_refusal(refusal) if refusal else None,
             self.entries(answer),
             self.spent(answer),
             self.next_reserve(),
             host.address if self.is_model and host else '',
         )
-        await self.parts.recorder.record(self.live, lambda: [record])
+        await self.context.recorder.record(self.live, lambda: [record])
         if host is not None:
-            self.parts.recorder.settle(host.address, self.call.id)
+            self.context.recorder.settle(host.address, self.call.id)
             if self.is_model and answer:
                 self.attempts.note_held(host)
         return self.program.finished[self.request.key]
@@ -302,7 +295,7 @@
         """Give what to set aside for the program's next call."""
         budget = self.program.budget
         if self.is_model:
-            return budget.ahead(self.declaration.reserve_tokens)
+            return budget.cap_reserve_ahead(self.declaration.reserve_tokens)
         return budget.reserved
 
     def entries(self, answer: Answer | None) -> list[HistoryItem]:
@@ -310,8 +303,10 @@
         if answer is None:
             return []
         if self.is_model:
-            return chat_entries(self.request.argument, answer)
-        return plain_entries(self.request.operation, self.request.argument, answer)
+            return chat_history_items(self.request.argument, answer)
+        return service_history_items(
+            self.request.operation, self.request.argument, answer
+        )
 
 
 def is_not_run(ending: Ending) -> bool:
