--- a/pollenwalk/process/compaction.py
+++ b/pollenwalk/process/compaction.py
@@ -33,7 +33,7 @@
 
     def start(self) -> None:
         """Follow what is recorded and compact in the background."""
-        self.owner.context.recorder.touched = self.touched
+        self.owner.context.recorder.on_committed = self.touched
         self.owner.tasks.spawn(self.run(), 'compaction')
 
     def touched(self, records: list[Record], segment: int) -> None:
--- a/pollenwalk/process/members.py
+++ b/pollenwalk/process/keeper_members.py
@@ -7,7 +7,7 @@
 
 from pollenwalk.process.store import StoredObject
 
-KEEPERS = 'keepers/'
+KEEPERS_PREFIX = 'keepers/'
 
 
 class Member(NamedTuple):
@@ -28,7 +28,7 @@
     @property
     def key(self) -> str:
         """Give the key of its object in the store."""
-        return f'{KEEPERS}{self.name}'
+        return f'{KEEPERS_PREFIX}{self.name}'
 
     def encode(self) -> bytes:
         """Give the body of its object in the store."""
@@ -39,17 +39,17 @@
     """All keepers, by name.
 
     Attributes:
-        listed: whether the store has been read.
+        loaded: whether the store has been read.
     """
 
     def __init__(self) -> None:
         """Start with none known."""
         self.by_name: dict[str, Member] = {}
-        self.listed = False
+        self.loaded = False
 
-    def take(self, stored: StoredObject) -> None:
+    def apply_change(self, stored: StoredObject) -> None:
         """Take a change of one keeper's object."""
-        name = stored.key.removeprefix(KEEPERS)
+        name = stored.key.removeprefix(KEEPERS_PREFIX)
         if stored.body:
             self.add(name, stored.body)
         else:
@@ -71,6 +71,6 @@
         except (msgspec.DecodeError, msgspec.ValidationError, AttributeError) as error:
             logger.error('keeper_unreadable', keeper=name, reason=str(error))
 
-    def mark_listed(self) -> None:
+    def mark_loaded(self) -> None:
         """Note that the store has been read."""
-        self.listed = True
+        self.loaded = True
--- a/pollenwalk/process/program_owner.py
+++ b/pollenwalk/process/program_owner.py
@@ -67,7 +67,7 @@
     def start(self) -> None:
         """Start the background work."""
         self.tasks.spawn(
-            self.context.recorder.send_settled(self.context.peers), 'settle'
+            self.context.recorder.send_settlements(self.context.peers), 'settle'
         )
         self.upkeep.start()
 
@@ -151,7 +151,7 @@
             Fenced: this home has a successor; ask there.
         """
         try:
-            await self.context.recorder.confirm(CONFIRM_WAIT_MS)
+            await self.context.recorder.confirm_ownership(CONFIRM_WAIT_MS)
         except TimeoutError:
             return False
         return True
--- a/pollenwalk/request/call_sender.py
+++ b/pollenwalk/request/call_sender.py
@@ -15,10 +15,10 @@
 from pollenwalk.platform.headers import added_headers, resume_header
 from pollenwalk.policy.host_choice import CallCost
 from pollenwalk.policy.program_admission import is_wait_acceptable, retry_delay_ms
+from pollenwalk.process.call_placer import CallPlacer
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.gateway_metrics import GatewayMetrics
-from pollenwalk.process.host_book import HostState
-from pollenwalk.process.placing import Placing
+from pollenwalk.process.host_table import HostState
 from pollenwalk.request.call_state import Call
 from pollenwalk.request.exchange import Exchange
 from pollenwalk.request.http_messages import Headers
@@ -37,7 +37,7 @@
 
     clock: Clock
     pool: LinkPool
-    placing: Placing
+    call_placer: CallPlacer
     metrics: GatewayMetrics
     rng: random.Random
 
@@ -57,7 +57,7 @@
         self.context = context
         self.call = call
         self.body = body
-        self.cost = CallCost(context.placing.run_ms(call))
+        self.cost = CallCost(context.call_placer.expected_run_ms(call))
         self.runs = 0
         self.sent_ms = 0.0
         self.waited = False
@@ -70,8 +70,8 @@
             Refusal: the hosts are too busy for one more program.
         """
         call = self.call
-        placing = self.context.placing
-        wait_ms = placing.least_wait_ms(call, self.cost)
+        call_placer = self.context.call_placer
+        wait_ms = call_placer.min_wait_ms(call, self.cost)
         if is_wait_acceptable(wait_ms, call.route.target_ms, call.route.priority):
             return
         remaining_ms = call.remaining_ms(self.context.clock.now_ms())
@@ -85,7 +85,7 @@
             priority=call.route.priority,
             retry_after_ms=round(retry_after_ms),
         )
-        self.context.metrics.sent('turned_back')
+        self.context.metrics.count_send('turned_back')
         raise Refusal(
             RefusalCode.OVERLOADED,
             f'{call.upstream}: too busy for one more program',
@@ -97,7 +97,7 @@
         if self.waited:
             return
         run_ms = self.context.clock.now_ms() - self.sent_ms
-        self.context.placing.ran(self.call, run_ms)
+        self.context.call_placer.record_run_time(self.call, run_ms)
 
     def may_run(self) -> bool:
         """Tell whether one more host may run the call."""
@@ -140,7 +140,9 @@
         target_ms = self.call.route.target_ms
         limit_ms = self.call.request.arrived_ms + target_ms * HOLD_SHARE
         while True:
-            state = self.context.placing.choose(self.call, self.cost, self.tried)
+            state = self.context.call_placer.choose_host(
+                self.call, self.cost, self.tried
+            )
             if state is not None:
                 return state
             if not self.tried or clock.now_ms() + ASK_AGAIN_MS > limit_ms:
@@ -171,10 +173,10 @@
             BrokenAnswer: the host may have run the call.
         """
         self.sent_ms = self.context.clock.now_ms()
-        self.waited = state.load(self.sent_ms) >= state.listed.slots
+        self.waited = state.load(self.sent_ms) >= state.registration.slots
         state.in_flight += 1
         try:
-            link = await self.context.pool.take(state.listed)
+            link = await self.context.pool.take(state.registration)
         except BaseException:
             state.in_flight -= 1
             raise
@@ -201,14 +203,14 @@
         head = await exchange.link.head(self.call.id)
         exchange.head = head
         if head.load is not None:
-            state.note_load(head.load, self.context.clock.now_ms())
+            state.record_load(head.load, self.context.clock.now_ms())
         if head.refused:
             self.runs -= 1
             await exchange.body()
             raise NotSent(f'refused with status {head.status}')
         if not head.signed or head.encoded:
             raise BrokenAnswer(f'status {head.status} without a signature')
-        self.context.metrics.sent('answered')
+        self.context.metrics.count_send('answered')
 
     def log_send(self, state: HostState) -> None:
         """Log which host was chosen and what that rested on."""
@@ -216,7 +218,7 @@
         logger.info(
             'sent',
             request=self.call.id,
-            host=state.listed.id,
+            host=state.registration.id,
             load=round(state.load(now_ms), 1),
             load_age_ms=state.report_age_ms(now_ms),
             run=self.runs + 1,
@@ -226,7 +228,7 @@
     def headers(self, state: HostState, last_event: str) -> Headers:
         """Write the headers for one host."""
         remaining_ms = self.call.remaining_ms(self.context.clock.now_ms())
-        added = added_headers(state.listed.id, remaining_ms, None)
+        added = added_headers(state.registration.id, remaining_ms, None)
         given = self.call.request.headers
         if last_event:
             resume = resume_header(last_event)
@@ -236,25 +238,25 @@
 
     def bounced(self, state: HostState, reason: str) -> None:
         """Note a host that did not run the call."""
-        self.tried.add(state.listed.id)
-        self.context.placing.bounced(state, reason)
-        self.context.metrics.sent('not_run')
+        self.tried.add(state.registration.id)
+        self.context.call_placer.record_rejection(state, reason)
+        self.context.metrics.count_send('not_run')
         logger.info(
             'not_run',
             request=self.call.id,
-            host=state.listed.id,
+            host=state.registration.id,
             reason=reason,
         )
 
     def broke(self, state: HostState, reason: str) -> None:
         """Note a host that may have run the call and gave no answer."""
-        self.tried.add(state.listed.id)
-        state.failed(self.context.clock.now_ms())
-        self.context.metrics.sent('broken')
+        self.tried.add(state.registration.id)
+        state.record_failure(self.context.clock.now_ms())
+        self.context.metrics.count_send('broken')
         logger.warning(
             'broken_answer',
             request=self.call.id,
-            host=state.listed.id,
+            host=state.registration.id,
             reason=reason,
             runs=self.runs,
         )
--- a/pollenwalk/request/exchange.py
+++ b/pollenwalk/request/exchange.py
@@ -6,7 +6,7 @@
 
 from pollenwalk.connection.link_pool import LinkPool
 from pollenwalk.connection.upstream_link import UpstreamLink
-from pollenwalk.process.host_book import HostState
+from pollenwalk.process.host_table import HostState
 from pollenwalk.request.http_messages import AnswerHead
 
 SUCCESSES = range(HTTPStatus.OK, HTTPStatus.MULTIPLE_CHOICES)
@@ -49,7 +49,7 @@
         self.closed = True
         self.state.in_flight -= 1
         if self.whole:
-            self.pool.give_back(self.state.listed, self.link)
+            self.pool.give_back(self.state.registration, self.link)
         else:
             self.link.abort()
 
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -7,19 +7,10 @@
 
 from pollenwalk.connection.peer import Connection
 from pollenwalk.connection.wire import Answer, HistoryItem
-from pollenwalk.errors import (
-    ConnectionLost,
-    Outcome,
-    Refusal,
-    RefusalBody,
-    RefusalCode,
-)
+from pollenwalk.errors import ConnectionLost, Outcome, Refusal, RefusalBody, RefusalCode
 from pollenwalk.policy.placement import HostView
 from pollenwalk.process.recorder import store_unavailable
-from pollenwalk.program.history import (
-    chat_history_items,
-    service_history_items,
-)
+from pollenwalk.program.history import chat_history_items, service_history_items
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.program.program import FinishedCall
 from pollenwalk.program.records import (
@@ -146,7 +137,7 @@
             Refusal: neither the store nor the witnesses answer.
         """
         try:
-            await self.context.recorder.confirm(INTENT_WAIT_MS)
+            await self.context.recorder.confirm_ownership(INTENT_WAIT_MS)
         except TimeoutError as error:
             raise store_unavailable() from error
 
