--- a/test/program/test_ledger.py
+++ b/test/program/test_ledger.py
@@ -1,4 +1,4 @@
-"""Budgets of programs, and turns by their ids."""
+"""Token accounts of programs, budget decisions and the index of turns."""
 
 import itertools
 
@@ -19,10 +19,10 @@
 
 
 class LedgerTest(testtools.TestCase):
-    """One keeper's accounts."""
+    """The accounts of one keeper."""
 
     @virtual
-    async def test_reserved_counts_at_its_most_until_settled(self) -> None:
+    async def test_reservation_counts_until_settled(self) -> None:
         ledger = Ledger(make_clock())
         ledger.reserve(ReserveTokens('p', 't1', MAX_TOKENS, 0))
         known = ledger.reserve(ReserveTokens('p', 't2', MAX_TOKENS, 0))
@@ -32,14 +32,14 @@
         self.assertEqual([4, MAX_TOKENS], [one.tokens for one in known])
 
     @virtual
-    async def test_a_late_reservation_undoes_nothing(self) -> None:
+    async def test_late_reservation_keeps_the_settlement(self) -> None:
         ledger = Ledger(make_clock())
         ledger.settle(SettleTokens('p', 't1', 4, 0))
         known = ledger.reserve(ReserveTokens('p', 't1', MAX_TOKENS, 0))
         self.assertEqual([TokenEntry('t1', 4, True)], known)
 
     @virtual
-    async def test_idle_accounts_go(self) -> None:
+    async def test_idle_accounts_expire(self) -> None:
         clock = make_clock()
         ledger = Ledger(clock)
         ledger.reserve(ReserveTokens('p', 't1', MAX_TOKENS, 1000))
@@ -51,10 +51,10 @@
         self.assertNotIn('p', ledger.accounts)
 
 
-class JudgeTest(testtools.TestCase):
-    """What the words of several keepers come to."""
+class DecisionTest(testtools.TestCase):
+    """Decisions on a reservation from the entries of several keepers."""
 
-    def test_settled_goes_before_reserved(self) -> None:
+    def test_settled_entry_takes_precedence(self) -> None:
         known = [
             [TokenEntry('t1', MAX_TOKENS, False)],
             [TokenEntry('t1', 4, True), TokenEntry('t2', MAX_TOKENS, False)],
@@ -64,24 +64,25 @@
         self.assertFalse(decide_reservation(known, 't2', MAX_TOKENS, 13).fits)
 
     def test_two_rounds_never_exceed_the_budget(self) -> None:
-        """Try every order in which three turns can reach two of three keepers.
+        """Turns that are permitted at the same moment fit the budget together.
 
-        A turn that runs has first been written to a majority and has then
-        read a majority. Whatever the order, those that run fit together.
+        A turn is permitted after it was written to a majority and then read
+        from one. The test tries every order of these steps for three turns,
+        each at two of three keepers.
         """
         majorities = list(itertools.combinations(range(KEEPERS), 2))
         turns = ('t1', 't2', 't3')
-        for chosen in itertools.product(majorities, repeat=len(turns)):
+        for asked_keepers in itertools.product(majorities, repeat=len(turns)):
             for order in itertools.permutations(range(2 * len(turns))):
-                self.check(turns, chosen, order)
+                self.check_order(turns, asked_keepers, order)
 
-    def check(
+    def check_order(
         self,
         turns: tuple[str, ...],
-        chosen: tuple[tuple[int, ...], ...],
+        asked_keepers: tuple[tuple[int, ...], ...],
         order: tuple[int, ...],
     ) -> None:
-        """Play one order; step 2n writes turn n, step 2n + 1 reads for it."""
+        """Check one order of steps; step 2n writes turn n, 2n + 1 reads for it."""
         budget = 2 * MAX_TOKENS
         held: list[set[str]] = [set() for _ in range(KEEPERS)]
         written: set[int] = set()
@@ -92,28 +93,28 @@
                 return
             if not reads:
                 written.add(number)
-                for keeper in chosen[number]:
+                for keeper in asked_keepers[number]:
                     held[keeper].add(turns[number])
                 continue
             known = [
                 [TokenEntry(turn, MAX_TOKENS, False) for turn in held[keeper]]
-                for keeper in chosen[number]
+                for keeper in asked_keepers[number]
             ]
             if decide_reservation(known, turns[number], MAX_TOKENS, budget).fits:
                 running.append(turns[number])
-        self.assertTrue(len(running) * MAX_TOKENS <= budget, (chosen, order))
+        self.assertTrue(len(running) * MAX_TOKENS <= budget, (asked_keepers, order))
 
 
 class TurnIndexTest(testtools.TestCase):
-    """Turns and their chains."""
+    """The index of turns and their chains."""
 
     def turn(self, name: str, previous: str = '') -> TurnRecord:
-        """Make a turn."""
+        """Make the record of a turn."""
         text = name.encode()
         return TurnRecord(name, 'p', previous, text, text + b'!\n', 1, 1000, [])
 
     @virtual
-    async def test_several_turns_continue_one(self) -> None:
+    async def test_several_turns_continue_the_same_one(self) -> None:
         index = TurnIndex(make_clock())
         for turn in (
             self.turn('a'),
@@ -128,7 +129,7 @@
         self.assertEqual(b'aa!\ncc!\ndd!\nnew', build_prompt(chain.turns, b'new'))
 
     @virtual
-    async def test_a_gap_is_named(self) -> None:
+    async def test_missing_predecessor_is_named(self) -> None:
         index = TurnIndex(make_clock())
         index.put(self.turn('b', 'a'))
         self.assertEqual('a', index.use_chain('b').missing)
@@ -136,7 +137,7 @@
         self.assertEqual([], index.use_chain('x').turns)
 
     @virtual
-    async def test_use_keeps_the_whole_chain(self) -> None:
+    async def test_use_of_a_turn_keeps_its_chain(self) -> None:
         clock = make_clock()
         index = TurnIndex(clock)
         index.put(self.turn('a'))
@@ -148,7 +149,7 @@
         self.assertEqual('', index.use_chain('b').missing)
 
     @virtual
-    async def test_a_bounded_index_drops_the_oldest(self) -> None:
+    async def test_bounded_index_evicts_the_least_recently_used(self) -> None:
         index = TurnIndex(make_clock(), 10)
         for name in 'abcd':
             index.put(self.turn(name))
