--- a/pollenwalk/process/beginnings.py
+++ b/pollenwalk/process/beginnings.py
@@ -210,7 +210,7 @@
                 back at once.
         """
         spec = self.parts.config.program(request.declaration)
-        level = self.parts.config.level(spec.priority)
+        level = self.parts.config.priority_level(spec.priority)
         for name in spec.upstreams:
             upstream = self.parts.config.upstream(name)
             hosts = self.parts.fleet.views(name)
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -47,7 +47,7 @@
         """Give the level of the program's priority class."""
         declaration = self.parts.config.program(self.program.declaration)
         name = declaration.priority if declaration else ''
-        return self.parts.config.level(name)
+        return self.parts.config.priority_level(name)
 
     @property
     def message_tokens(self) -> int:
--- a/pollenwalk/version/__init__.py
+++ b/pollenwalk/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as one accepted version of the configuration."""
+"""The declared configuration, of which one accepted version is in force."""
--- a/pollenwalk/version/config.py
+++ b/pollenwalk/version/config.py
@@ -1,4 +1,4 @@
-"""The configuration in force: accepted resources, each at a version that only grows."""
+"""The accepted resources that are in force; a resource's version only grows."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -17,11 +17,19 @@
     UpstreamSpec,
 )
 
+# The level of priority classes that are not declared.
 DEFAULT_LEVEL = 5
 
 
 class Accepted(NamedTuple):
-    """A resource as accepted; an empty spec means it was deleted."""
+    """An accepted resource.
+
+    Attributes:
+        kind: the resource's kind.
+        name: the resource's name.
+        version: store version of the desired resource that was accepted.
+        spec: the declared fields as JSON; None if the resource was deleted.
+    """
 
     kind: str
     name: str
@@ -30,23 +38,30 @@
 
 
 class Configuration:
-    """All accepted resources of one process."""
+    """All resources that are in force in one process.
+
+    Attributes:
+        accepted: the newest accepted version of each resource, deleted ones
+            included.
+        specs: the declared fields of the resources that are not deleted.
+        on_accept: called with each resource that is put in force or deleted.
+    """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start without resources."""
         self.accepted: dict[ResourceId, Accepted] = {}
         self.specs: dict[ResourceId, Spec] = {}
         self.on_accept: Callable[[Accepted], None] = lambda accepted: None
 
     def accept(self, accepted: Accepted) -> bool:
-        """Put a resource in force unless a later version is.
+        """Put a resource in force unless the same or a later version is.
 
         Returns:
-            Whether it was newer than what was in force.
+            Whether the resource was put in force.
         """
         resource_id = ResourceId(Kind(accepted.kind), accepted.name)
-        present = self.accepted.get(resource_id)
-        if present is not None and present.version >= accepted.version:
+        current = self.accepted.get(resource_id)
+        if current is not None and current.version >= accepted.version:
             return False
         self.accepted[resource_id] = accepted
         if accepted.spec is None:
@@ -57,29 +72,29 @@
         return True
 
     def program(self, name: str) -> ProgramSpec | None:
-        """Give a declared program."""
+        """Return a declared program; None if there is none of this name."""
         return self.specs.get(ResourceId(Kind.PROGRAM, name))
 
     def upstream(self, name: str) -> UpstreamSpec | None:
-        """Give a declared upstream."""
+        """Return a declared upstream; None if there is none of this name."""
         return self.specs.get(ResourceId(Kind.UPSTREAM, name))
 
     def budget(self, caller: str) -> BudgetSpec:
-        """Give a caller's limits."""
+        """Return a caller's limits, or the default ones if none are declared."""
         return self.specs.get(ResourceId(Kind.BUDGET, caller)) or BudgetSpec()
 
-    def level(self, priority: str) -> int:
-        """Give the level of a priority class."""
+    def priority_level(self, priority: str) -> int:
+        """Return the level of a priority class; a lower level is served first."""
         spec = self.specs.get(ResourceId(Kind.PRIORITY, priority))
         return spec.level if isinstance(spec, PrioritySpec) else DEFAULT_LEVEL
 
     def highest_version(self) -> int:
-        """Give the highest version in force."""
-        return max((one.version for one in self.accepted.values()), default=0)
+        """Return the highest version of all accepted resources, at least 0."""
+        return max((resource.version for resource in self.accepted.values()), default=0)
 
 
 def spec_from_json(kind: Kind, fields: dict[str, Any]) -> Spec:
-    """Rebuild a spec from JSON."""
+    """Rebuild a spec from JSON; unknown fields are ignored."""
     known = SPEC_TYPES[kind]._fields
     return SPEC_TYPES[kind](
         **{key: field for key, field in fields.items() if key in known}
@@ -87,12 +102,12 @@
 
 
 def spec_to_json(spec: Spec) -> dict[str, Any]:
-    """Turn a spec into JSON."""
+    """Return a spec's fields as JSON."""
     return msgspec.to_builtins(spec._asdict())
 
 
 def undeclared_references(resource: Resource, config: Configuration) -> list[str]:
-    """Tell what a resource refers to that is not in force."""
+    """Return a message for each upstream of a program that is not declared."""
     spec = resource.spec
     if not isinstance(spec, ProgramSpec):
         return []
