--- a/pollenwalk/process/settings.py
+++ b/pollenwalk/process/settings.py
@@ -20,7 +20,7 @@
     int_field,
     missing_keys,
     number_field,
-    read_fields,
+    parse_fields,
     read_text,
 )
 
@@ -187,7 +187,7 @@
 ) -> tuple[list[Problem], dict[str, Any]]:
     """Read one section, giving its errors and its values."""
     schema = SCHEMAS[section]
-    values = dict(read_fields(schema, keys))
+    values = dict(parse_fields(schema, keys))
     errors = list(field_errors(values))
     if required:
         errors.extend(missing_keys(schema, schema, keys))
@@ -204,7 +204,7 @@
     regions = {}
     for zone, region in keys.items():
         try:
-            regions[zone] = NAME.read(region)
+            regions[zone] = NAME.parse(region)
         except ValueError:
             text = f'{region!r} is not {NAME.allowed}'
             problems.append(Problem(source, REGIONS, zone, text))
--- a/pollenwalk/version/fields.py
+++ b/pollenwalk/version/fields.py
@@ -1,7 +1,7 @@
-"""How the keys of INI files are read, and how their errors are shown.
+"""Parsers of the values of INI files, and the errors that they report.
 
-Settings and resources share these: every error of a file is found in one
-reading, each with the file, section, key and what is allowed.
+Settings and resources use the same parsers. All errors of a file are reported
+at once, each with the file, the section, the key and the allowed values.
 """
 
 import ipaddress
@@ -17,14 +17,26 @@
 
 
 class Field(NamedTuple):
-    """How one key is read and what it may hold."""
+    """How the value of one key is parsed.
 
-    read: Callable[[str], Any]
+    Attributes:
+        parse: parses the value; raises `ValueError` if it is invalid.
+        allowed: the allowed values, for error messages.
+    """
+
+    parse: Callable[[str], Any]
     allowed: str
 
 
 class Problem(NamedTuple):
-    """One error in a file."""
+    """One error in a file.
+
+    Attributes:
+        source: name of the file.
+        section: name of the section; empty if the error is not in one.
+        key: empty if the error concerns the whole section.
+        text: what is wrong.
+    """
 
     source: str
     section: str
@@ -32,17 +44,21 @@
     text: str
 
     def describe(self) -> str:
-        """Describe the error in one line."""
+        """Return the error as one line of text."""
         return f'{self.source}: [{self.section}] {self.key}: {self.text}'
 
 
 class InvalidFile(UserError):
-    """A file with one or more errors."""
+    """A file has one or more errors.
+
+    Attributes:
+        problems: all errors of the file.
+    """
 
     code = 'invalid_file'
 
     def __init__(self, problems: list[Problem]) -> None:
-        """Keep all errors."""
+        """Make an error whose message has one line for each problem."""
         super().__init__('\n'.join(problem.describe() for problem in problems))
         self.problems = problems
 
@@ -51,7 +67,7 @@
     """Read a file that a user has written.
 
     Raises:
-        UserError: it can't be read.
+        UserError: the file can't be read or is not UTF-8.
     """
     try:
         return path.read_text(encoding='utf-8')
@@ -60,59 +76,74 @@
 
 
 def int_field(low: int, high: int) -> Field:
-    """Make a field that holds a whole number within bounds."""
+    """Make a field for a whole number from `low` to `high`."""
 
-    def read(text: str) -> int:  # noqa: WPS430
+    def parse(text: str) -> int:  # noqa: WPS430
         number = int(text)
         if not low <= number <= high:
             raise ValueError(text)
         return number
 
-    return Field(read, f'a whole number from {low} to {high}')
+    return Field(parse, f'a whole number from {low} to {high}')
 
 
 def number_field(low: float, high: float) -> Field:
-    """Make a field that holds a number within bounds."""
+    """Make a field for a number from `low` to `high`."""
 
-    def read(text: str) -> float:  # noqa: WPS430
+    def parse(text: str) -> float:  # noqa: WPS430
         number = float(text)
         if not low <= number <= high:
             raise ValueError(text)
         return number
 
-    return Field(read, f'a number from {low} to {high}')
+    return Field(parse, f'a number from {low} to {high}')
 
 
 def choice_field(*choices: str) -> Field:
-    """Make a field that holds one of a few words."""
+    """Make a field for one of the given words."""
 
-    def read(text: str) -> str:  # noqa: WPS430
+    def parse(text: str) -> str:  # noqa: WPS430
         if text not in choices:
             raise ValueError(text)
         return text
 
-    return Field(read, ' or '.join(choices))
+    return Field(parse, ' or '.join(choices))
+
 
+def parse_name(text: str) -> str:
+    """Parse a name of ASCII letters, digits, hyphens and underscores.
 
-def read_name(text: str) -> str:
-    """Read a name of letters, digits, hyphens and underscores."""
-    plain = text.replace('-', '').replace('_', '')
-    if not plain.isalnum() or not plain.isascii() or len(text) > MAX_NAME_LENGTH:
+    Raises:
+        ValueError: it has other characters, no letter or digit, or more than
+            `MAX_NAME_LENGTH` characters.
+    """
+    alphanumerics = text.replace('-', '').replace('_', '')
+    if (
+        not alphanumerics.isalnum()
+        or not alphanumerics.isascii()
+        or len(text) > MAX_NAME_LENGTH
+    ):
         raise ValueError(text)
     return text
 
 
-def read_names(text: str) -> list[str]:
-    """Read a list of names, split at commas."""
-    return [read_name(part.strip()) for part in text.split(',') if part.strip()]
+def parse_names(text: str) -> list[str]:
+    """Parse a list of names, separated by commas."""
+    return [parse_name(part.strip()) for part in text.split(',') if part.strip()]
 
 
-NAME = Field(read_name, f'a name: letters, digits, - and _, at most {MAX_NAME_LENGTH}')
-NAMES = Field(read_names, 'names split by commas')
+NAME = Field(
+    parse_name, f'a name of at most {MAX_NAME_LENGTH} letters, digits, - and _'
+)
+NAMES = Field(parse_names, 'names separated by commas')
 
 
-def read_address(text: str) -> str:
-    """Read `ip:port`."""
+def parse_address(text: str) -> str:
+    """Check an address of the form `ip:port`.
+
+    Raises:
+        ValueError: the IP address or the port is not valid.
+    """
     host, _, port = text.rpartition(':')
     ipaddress.ip_address(host.strip('[]'))
     if not 0 < int(port) <= MAX_PORT:
@@ -120,42 +151,54 @@
     return text
 
 
-def read_addresses(text: str) -> list[str]:
-    """Read a list of addresses, split at commas."""
-    return [read_address(part.strip()) for part in text.split(',') if part.strip()]
+def parse_addresses(text: str) -> list[str]:
+    """Parse a list of addresses, separated by commas."""
+    return [parse_address(part.strip()) for part in text.split(',') if part.strip()]
 
 
-def read_url(text: str) -> str:
-    """Read an HTTP URL."""
+def parse_url(text: str) -> str:
+    """Parse an HTTP URL and remove slashes at its end.
+
+    Raises:
+        ValueError: it is no http:// or https:// URL, or names no host.
+    """
     parts = urlsplit(text)
     if parts.scheme not in {'http', 'https'} or not parts.netloc:
         raise ValueError(text)
     return text.rstrip('/')
 
 
-def read_urls(text: str) -> list[str]:
-    """Read a list of HTTP URLs, split at commas."""
-    return [read_url(part.strip()) for part in text.split(',') if part.strip()]
+def parse_urls(text: str) -> list[str]:
+    """Parse a list of HTTP URLs, separated by commas."""
+    return [parse_url(part.strip()) for part in text.split(',') if part.strip()]
 
 
-ADDRESS = Field(read_address, 'ip:port')
-ADDRESSES = Field(read_addresses, 'ip:port, split by commas')
-URL = Field(read_url, 'an http:// or https:// URL')
-URLS = Field(read_urls, 'URLs split by commas')
+ADDRESS = Field(parse_address, 'ip:port')
+ADDRESSES = Field(parse_addresses, 'ip:port, separated by commas')
+URL = Field(parse_url, 'an http:// or https:// URL')
+URLS = Field(parse_urls, 'URLs separated by commas')
 TEXT = Field(str, 'any text')
 
 
 class FieldError(NamedTuple):
-    """Why a key can't be read."""
+    """Stands in for the value of a key that can't be parsed."""
 
     text: str
 
 
-def read_fields(
+def parse_fields(
     schema: Mapping[str, Field],
     keys: Mapping[str, str],
 ) -> Iterator[tuple[str, Any]]:
-    """Read each key, giving its value or its error."""
+    """Parse the value of each key.
+
+    Args:
+        schema: the allowed keys and their fields.
+        keys: the values as they stand in the file.
+
+    Yields:
+        Each key with its parsed value, or with a `FieldError`.
+    """
     for key, text in keys.items():
         field = schema.get(key)
         if field is None:
@@ -163,16 +206,16 @@
             yield key, FieldError(f'unknown key; allowed: {known}')
             continue
         try:
-            yield key, field.read(text)
+            yield key, field.parse(text)
         except ValueError:
             yield key, FieldError(f'{text!r} is not {field.allowed}')
 
 
 def field_errors(fields: dict[str, Any]) -> Iterator[tuple[str, str]]:
-    """Give the keys that could not be read."""
-    for key, outcome in fields.items():
-        if isinstance(outcome, FieldError):
-            yield key, outcome.text
+    """Yield each key that could not be parsed, with an error message."""
+    for key, parsed in fields.items():
+        if isinstance(parsed, FieldError):
+            yield key, parsed.text
 
 
 def missing_keys(
@@ -180,7 +223,7 @@
     required: Iterable[str],
     keys: Iterable[str],
 ) -> Iterator[tuple[str, str]]:
-    """Give the required keys that are not there."""
+    """Yield each required key that is missing, with an error message."""
     present = set(keys)
     for key in required:
         if key not in present:
--- a/pollenwalk/version/resources.py
+++ b/pollenwalk/version/resources.py
@@ -19,8 +19,8 @@
     int_field,
     missing_keys,
     number_field,
-    read_fields,
-    read_name,
+    parse_fields,
+    parse_name,
 )
 
 
@@ -202,11 +202,11 @@
         text = f'unknown kind; allowed: {", ".join(kinds)}'
         return [Problem(source, section, '', text)], None
     try:
-        read_name(name)
+        parse_name(name)
     except ValueError:
         return [Problem(source, section, '', f'needs {NAME.allowed}')], None
     kind = Kind(kind_name)
-    fields = dict(read_fields(SCHEMAS[kind], keys))
+    fields = dict(parse_fields(SCHEMAS[kind], keys))
     problems = [
         Problem(source, section, key, text)
         for key, text in (
