--- a/pollenwalk/version/resources.py
+++ b/pollenwalk/version/resources.py
@@ -1,7 +1,7 @@
-"""The resources that operators declare, and the checks on them.
+"""The resources that operators declare, and their checks.
 
-A resource is one INI section `[Kind name]`. Every error of a file is found
-in one reading, each with the file, section, key and what is allowed.
+A resource is an INI section `[Kind name]`. All errors of a file are reported
+at once, each with the file, the section, the key and the allowed values.
 """
 
 import configparser
@@ -25,7 +25,7 @@
 
 
 class Kind(enum.StrEnum):
-    """The kinds of resource."""
+    """The kinds of resources; the values are the kinds' names in INI files."""
 
     PROGRAM = 'Program'
     UPSTREAM = 'Upstream'
@@ -34,16 +34,17 @@
 
 
 class ProgramSpec(NamedTuple):
-    """What a declared program may do.
+    """The limits of a declared program. Each program that is begun is a run.
 
     Attributes:
-        upstreams: names of the upstreams it may call.
-        budget_tokens: tokens that one run may spend.
-        reserve_tokens: tokens set aside ahead of each model call.
-        priority: name of a Priority.
-        max_calls: calls of one run.
-        loop_limit: identical calls in a row before a run counts as looping.
-        deadline_ms: time for a whole run.
+        upstreams: names of the upstreams that a run may call.
+        budget_tokens: the most tokens that a run may spend.
+        reserve_tokens: tokens reserved in advance for the next model call.
+        priority: name of the run's Priority resource.
+        max_calls: the most calls that a run may make.
+        loop_limit: identical calls in a row after which a run is refused a
+            further one, as it seems to loop.
+        deadline_ms: the longest time that a run may take.
         idle_ms: time without a call after which a run is ended.
     """
 
@@ -58,17 +59,17 @@
 
 
 class UpstreamSpec(NamedTuple):
-    """What an upstream offers.
+    """The operations and the capacity of an upstream.
 
     Attributes:
-        kind: 'model' or 'plain'.
-        idempotent: operations that may be repeated.
+        kind: 'model' for a model engine, 'plain' for any other service.
+        idempotent: operations that may run more than once.
         non_idempotent: operations that must run at most once.
-        timeout_ms: time for one call at the upstream.
-        slots: calls that one upstream host runs at a time.
-        queue: calls that may wait at one upstream host.
-        prefill_ms: time to compute one prompt token.
-        decode_ms: time between two tokens of one answer.
+        timeout_ms: the longest time that one call may take at the upstream.
+        slots: calls that an upstream host runs at the same time.
+        queue: the most calls that may wait at an upstream host.
+        prefill_ms: time an engine takes to process one prompt token.
+        decode_ms: time between two generated tokens of an answer.
     """
 
     kind: str
@@ -82,11 +83,12 @@
 
 
 class BudgetSpec(NamedTuple):
-    """Limits of one caller; its name is the caller's.
+    """The limits of one caller; the resource has the caller's name.
 
     Attributes:
-        concurrent_programs: programs that may run at the same time.
-        tokens: tokens of all programs that run at the same time.
+        concurrent_programs: the most programs that may run at the same time.
+        tokens: the most tokens that the budgets of running programs may add
+            up to.
     """
 
     concurrent_programs: int = 1000
@@ -94,7 +96,7 @@
 
 
 class PrioritySpec(NamedTuple):
-    """A priority class; a lower level is served first."""
+    """A priority class; calls of a lower level are served first."""
 
     level: int = 5
 
@@ -103,14 +105,14 @@
 
 
 class ResourceId(NamedTuple):
-    """A resource's kind and name."""
+    """The kind and the name of a resource, which identify it."""
 
     kind: Kind
     name: str
 
 
 class Resource(NamedTuple):
-    """One declared resource."""
+    """A resource as it is declared in a file."""
 
     id: ResourceId
     spec: Spec
@@ -156,17 +158,17 @@
 
 
 def parse_resources(text: str, source: str) -> list[Resource]:
-    """Read the resources of one INI text.
+    """Parse the resources of an INI file.
 
     Args:
-        text: the INI text.
+        text: the content of the file.
         source: the file's name, for errors.
 
     Returns:
         The resources in the order of the file.
 
     Raises:
-        InvalidFile: with every error of the text.
+        InvalidFile: the file has errors; the exception holds all of them.
     """
     parser = configparser.ConfigParser(
         interpolation=None,
@@ -181,8 +183,10 @@
     problems: list[Problem] = []
     resources = []
     for section in parser.sections():
-        found, resource = parse_section(section, dict(parser[section]), source)
-        problems.extend(found)
+        section_problems, resource = parse_section(
+            section, dict(parser[section]), source
+        )
+        problems.extend(section_problems)
         if resource is not None:
             resources.append(resource)
     if problems:
@@ -195,7 +199,16 @@
     keys: dict[str, str],
     source: str,
 ) -> tuple[list[Problem], Resource | None]:
-    """Read one section, giving its errors or its resource."""
+    """Parse one section.
+
+    Args:
+        section: the section's name, which is the kind and the name.
+        keys: the values of the section.
+        source: the file's name, for errors.
+
+    Returns:
+        All errors of the section, and the resource; None if there are errors.
+    """
     kind_name, _, name = section.partition(' ')
     kinds = [kind.value for kind in Kind]
     if kind_name not in kinds:
