--- a/pollenwalk/version/active_configuration.py
+++ b/pollenwalk/version/active_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that a process works by; versions never go back."""
+"""The routing configuration that is in force in a process; its version only grows."""
 
 from loguru import logger
 
@@ -12,29 +12,37 @@
 
 
 class ActiveConfiguration:
-    """Takes each newer version as it comes."""
+    """Keeps the newest version of the configuration that could be read.
+
+    Attributes:
+        current: the configuration in force; None until the first is read.
+    """
 
     def __init__(self) -> None:
         """Start without a configuration."""
         self.current: RoutingConfiguration | None = None
 
     def apply(self, stored: StoredObject) -> None:
-        """Take a change of the configuration's object."""
+        """Put a stored configuration in force if its version is newer.
+
+        Objects with other keys, deletions and unreadable configurations leave
+        the one in force as it is.
+        """
         if stored.key != CONFIGURATION_KEY or not stored.body:
             return
         try:
-            offered = decode_configuration(stored.key, stored.body)
+            received = decode_configuration(stored.key, stored.body)
         except MalformedObject as error:
             logger.error('configuration_unreadable', reason=error.message)
             return
-        before = self.current.version if self.current else None
-        taken = before is None or offered.version > before
-        if taken:
-            self.current = offered
+        previous_version = self.current.version if self.current else None
+        is_newer = previous_version is None or received.version > previous_version
+        if is_newer:
+            self.current = received
         logger.info(
             'configuration',
-            version=offered.version,
-            before=before,
-            taken=taken,
+            version=received.version,
+            before=previous_version,
+            taken=is_newer,
             revision=stored.version,
         )
--- a/pollenwalk/version/routes.py
+++ b/pollenwalk/version/routes.py
@@ -1,11 +1,11 @@
-"""One version of the routing configuration, as the gateway uses it."""
+"""The routing configuration of gateways, at one version."""
 
 import enum
 from typing import NamedTuple
 
 
 class CallKind(enum.StrEnum):
-    """What a route's calls allow."""
+    """How the calls of a route are answered and whether they may be repeated."""
 
     SAFE = 'safe'
     UNSAFE = 'unsafe'
@@ -13,30 +13,35 @@
 
 
 class Share(NamedTuple):
-    """A part of a route's calls that goes to one upstream."""
+    """The part of a route's calls that goes to one upstream.
+
+    Attributes:
+        upstream: name of the upstream.
+        weight: above 0; its part of the sum of all weights of the route.
+    """
 
     upstream: str
     weight: float
 
 
 class Route(NamedTuple):
-    """Where calls below one host name and path go, and what binds them.
+    """The upstreams and the limits of calls to one host name and path.
 
     Attributes:
         name: of the route.
-        host: the host name that callers ask for, in lower case.
-        path_prefix: begins and ends with a slash.
-        kind: what may be repeated.
-        timeout_ms: the longest time that a caller is kept waiting.
-        target_ms: the time within which an answer is worth its full value.
-        pause_target_ms: the longest pause between two events of a stream
-            that is still on time; 0 where the route has none.
-        priority: 0 is the most urgent.
-        shares: the upstreams, with weights above 0 in all.
-        max_attempts: upstream hosts that may run one call.
-        resumable: whether another host may go on with a stream.
-        keeps_history: whether the gateway keeps the turns and completes
-            the prompts.
+        host: the host name that callers use, in lower case.
+        path_prefix: beginning of the paths, from slash to slash.
+        kind: how calls are answered and whether they may be repeated.
+        timeout_ms: the longest time that a caller waits.
+        target_ms: latency target; an answer within it has its full value.
+        pause_target_ms: target for the longest pause between two events of
+            a stream; 0 if the route has none.
+        priority: priority of the calls; 0 is the most urgent.
+        shares: the upstreams that the calls are divided among.
+        max_attempts: the most upstream hosts that may run one call.
+        resumable: whether another host may continue an interrupted stream.
+        keeps_history: whether gateways store the turns and put the previous
+            ones in front of a new prompt.
         retention_ms: how long a turn is kept after its last use.
     """
 
@@ -56,24 +61,24 @@
 
     @property
     def idempotent(self) -> bool:
-        """Tell whether a call may run more than once."""
+        """Return whether a call may run more than once."""
         if self.kind == CallKind.STREAM:
             return self.resumable
         return self.kind == CallKind.SAFE
 
     @property
     def is_streaming(self) -> bool:
-        """Tell whether the answers are streams of events."""
+        """Return whether the answers are streams of events."""
         return self.kind == CallKind.STREAM
 
 
 class Engine(NamedTuple):
-    """What is declared of an upstream that runs a model.
+    """The model engine on the hosts of an upstream.
 
     Attributes:
-        slots: calls in one batch of a host.
+        slots: calls that a host runs in one batch.
         memory_tokens: tokens that fit into a host's memory.
-        tokens_per_event: tokens that one event of a stream counts for.
+        tokens_per_event: tokens counted for each event of a stream.
     """
 
     slots: int
@@ -86,8 +91,9 @@
 
     Attributes:
         name: of the upstream.
-        max_connections: that one of its hosts takes from all gateways.
-        engine: None for a plain service.
+        max_connections: the most connections that one of its hosts accepts
+            from all gateways together.
+        engine: None if the upstream runs no model.
     """
 
     name: str
@@ -96,19 +102,23 @@
 
 
 class CallerLimits(NamedTuple):
-    """What callers are held to."""
+    """The limits of callers' requests.
+
+    Attributes:
+        max_body_bytes: the longest body of a request.
+    """
 
     max_body_bytes: int
 
 
 class RoutingConfiguration(NamedTuple):
-    """One version in full.
+    """One version of the routing configuration.
 
     Attributes:
-        version: only grows.
-        routes: by host name, the longest prefix first.
-        upstreams: by name.
-        limits: of callers' connections.
+        version: grows with each change.
+        routes: routes by host name, the longest path prefix first.
+        upstreams: upstreams by name.
+        limits: limits of callers' requests.
     """
 
     version: int
@@ -117,25 +127,27 @@
     limits: CallerLimits
 
     def match(self, host: str, path: str) -> Route | None:
-        """Find the route with the longest prefix of a path.
+        """Find the route whose path prefix is the longest that matches.
 
         Args:
-            host: the host name that the caller asks for, with or without
-                a port.
-            path: as the caller sent it.
+            host: the host name of the request, with or without a port.
+            path: the path as the caller sent it.
 
         Returns:
-            The route; None where no route matches.
+            The route; None if no route matches.
         """
         name = host.partition(':')[0].lower()
         candidates = self.routes.get(name, ())
         return next(
-            (one for one in candidates if path.startswith(one.path_prefix)),
+            (route for route in candidates if path.startswith(route.path_prefix)),
             None,
         )
 
     def tokens_per_event(self, route: Route) -> int:
-        """Give the tokens that an event of a route's streams counts for."""
+        """Return how many tokens are counted for each event of a stream.
+
+        It is that of the route's first upstream; 1 if it runs no model.
+        """
         upstream = self.upstreams.get(route.shares[0].upstream)
         if upstream is None or upstream.engine is None:
             return 1
@@ -143,11 +155,13 @@
 
 
 def index_routes(routes: list[Route]) -> dict[str, tuple[Route, ...]]:
-    """Arrange routes by host name, the longest prefix first."""
-    hosts: dict[str, list[Route]] = {}
+    """Group routes by host name, the longest path prefix first."""
+    by_host: dict[str, list[Route]] = {}
     for route in routes:
-        hosts.setdefault(route.host, []).append(route)
+        by_host.setdefault(route.host, []).append(route)
     return {
-        host: tuple(sorted(found, key=lambda one: -len(one.path_prefix)))
-        for host, found in hosts.items()
+        host: tuple(
+            sorted(host_routes, key=lambda prefixed: -len(prefixed.path_prefix))
+        )
+        for host, host_routes in by_host.items()
     }
--- a/test/program/__init__.py
+++ b/test/program/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what lives as long as a program."""
+"""Tests of the state that belongs to one program."""
--- a/test/version/__init__.py
+++ b/test/version/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what lives as long as a version of the configuration."""
+"""Tests of the declared configuration."""
--- a/test/version/test_active_configuration.py
+++ b/test/version/test_active_configuration.py
@@ -1,4 +1,4 @@
-"""Versions of the configuration only grow."""
+"""Tests of the routing configuration that is in force."""
 
 import json
 
@@ -10,19 +10,19 @@
 
 
 def stored(version: int, revision: int) -> StoredObject:
-    """Make the object of a version."""
+    """Make the stored object of a configuration's version."""
     body = json.dumps({**CONFIGURATION, 'version': version}).encode()
     return StoredObject('config/main', body, revision)
 
 
 class ActiveConfigurationTest(testtools.TestCase):
-    """What is in force."""
+    """The version in force only grows."""
 
     def version(self, active: ActiveConfiguration) -> int | None:
-        """Give the version in force."""
+        """Return the version in force; None if there is none."""
         return active.current.version if active.current else None
 
-    def test_an_older_version_is_passed_over(self) -> None:
+    def test_older_version_is_ignored(self) -> None:
         active = ActiveConfiguration()
         active.apply(stored(7, 10))
         active.apply(stored(5, 9))
@@ -30,7 +30,7 @@
         active.apply(stored(12, 14))
         self.assertEqual(12, self.version(active))
 
-    def test_what_cannot_be_read_changes_nothing(self) -> None:
+    def test_unreadable_objects_change_nothing(self) -> None:
         active = ActiveConfiguration()
         active.apply(stored(7, 10))
         active.apply(StoredObject('config/main', b'nonsense', 11))
