--- a/pollenwalk/version/routes.py
+++ b/pollenwalk/version/routes.py
@@ -161,7 +161,7 @@
         by_host.setdefault(route.host, []).append(route)
     return {
         host: tuple(
-            sorted(host_routes, key=lambda prefixed: -len(prefixed.path_prefix))
+            sorted(host_routes, key=lambda candidate: -len(candidate.path_prefix))
         )
         for host, host_routes in by_host.items()
     }
