--- a/pollenwalk/policy/host_choice.py
+++ b/pollenwalk/policy/host_choice.py
@@ -5,8 +5,8 @@
 from typing import NamedTuple, Protocol
 
 # The way to a host and back, in ms, where nothing else is known.
-NEAR_WAY_MS = 1.0
-FAR_WAY_MS = 60.0
+SAME_REGION_ROUND_TRIP_MS = 1.0
+CROSS_REGION_ROUND_TRIP_MS = 60.0
 # Estimates closer than this are as good as equal; choosing at random among
 # them keeps several gateways from going the same way at once.
 TIE_MS = 4.0
@@ -38,7 +38,7 @@
     suspected: bool
 
 
-class Work(NamedTuple):
+class CallCost(NamedTuple):
     """What a call costs a host.
 
     Attributes:
@@ -55,7 +55,9 @@
 class HostChoice(Protocol):
     """A policy that picks a host."""
 
-    def choose(self, candidates: Iterable[Candidate], work: Work) -> Candidate | None:
+    def choose(
+        self, candidates: Iterable[Candidate], cost: CallCost
+    ) -> Candidate | None:
         """Pick one of the candidates; None where there is none."""
 
 
@@ -66,41 +68,47 @@
     unevenly far away, some of them full.
     """
 
-    def __init__(self, dice: random.Random) -> None:
-        """Break ties by `dice`."""
-        self.dice = dice
+    def __init__(self, rng: random.Random) -> None:
+        """Break ties by `rng`."""
+        self.rng = rng
 
-    def choose(self, candidates: Iterable[Candidate], work: Work) -> Candidate | None:
+    def choose(
+        self, candidates: Iterable[Candidate], cost: CallCost
+    ) -> Candidate | None:
         """Compare the expected finish at every host that isn't suspected."""
         known = list(candidates)
         trusted = [one for one in known if not one.suspected] or known
         if not trusted:
             return None
-        estimates = [(finish_ms(one, work), one) for one in trusted]
+        estimates = [(finish_ms(one, cost), one) for one in trusted]
         best = min(estimate for estimate, _ in estimates)
         near_best = [one for estimate, one in estimates if estimate <= best + TIE_MS]
-        return self.dice.choice(near_best)
+        return self.rng.choice(near_best)
 
 
-def way_ms(candidate: Candidate) -> float:
+def round_trip_ms(candidate: Candidate) -> float:
     """Give the way to a host and back, beyond what the nearest one has."""
     if candidate.same_zone:
         return 0
-    return NEAR_WAY_MS if candidate.same_region else FAR_WAY_MS
+    return (
+        SAME_REGION_ROUND_TRIP_MS
+        if candidate.same_region
+        else CROSS_REGION_ROUND_TRIP_MS
+    )
 
 
-def wait_ms(candidate: Candidate, work: Work) -> float:
+def wait_ms(candidate: Candidate, cost: CallCost) -> float:
     """Estimate the wait for a slot at a host."""
     slots = max(candidate.slots, 1)
     queued = max(candidate.load + 1 - slots, 0)
-    return queued * work.run_ms / slots
+    return queued * cost.run_ms / slots
 
 
-def finish_ms(candidate: Candidate, work: Work) -> float:
+def finish_ms(candidate: Candidate, cost: CallCost) -> float:
     """Estimate way, wait, reading and running at a host."""
     share = candidate.load / max(candidate.slots, 1)
-    crowding_ms = work.run_ms * CROWDING * min(share, 1)
-    unread = max(work.prompt_tokens - candidate.cached_tokens, 0)
-    reading_ms = unread * work.read_ms_per_token
-    waits_ms = way_ms(candidate) + wait_ms(candidate, work)
+    crowding_ms = cost.run_ms * CROWDING * min(share, 1)
+    unread = max(cost.prompt_tokens - candidate.cached_tokens, 0)
+    reading_ms = unread * cost.read_ms_per_token
+    waits_ms = round_trip_ms(candidate) + wait_ms(candidate, cost)
     return waits_ms + crowding_ms + reading_ms
--- a/pollenwalk/process/adoption.py
+++ b/pollenwalk/process/adoption.py
@@ -13,11 +13,7 @@
 from pollenwalk.process.program_owner import ProgramOwner
 from pollenwalk.process.segments import JournalContent, segment_key
 from pollenwalk.process.store import Backoff, ObjectStore, StoredObject
-from pollenwalk.process.takeover import (
-    Takeover,
-    adopted_incarnations,
-    replay,
-)
+from pollenwalk.process.takeover import Takeover, adopted_incarnations, replay
 from pollenwalk.program.program import ProgramTable, snapshot_of
 from pollenwalk.program.records import Adopted, Claimed, Snapshot
 
@@ -87,7 +83,7 @@
 
     async def copy(self, table: ProgramTable, dead: str) -> None:
         """Commit all programs and settled keys, then make them count."""
-        journal = self.owner.parts.recorder.journal
+        journal = self.owner.context.recorder.journal
         for chunk in chunks(table, dead):
             await journal.commit(chunk)
         claims = [
@@ -98,7 +94,7 @@
 
     async def name_successor(self, dead: str) -> None:
         """Write into a dead entry's record who has its programs."""
-        backoff = Backoff(self.owner.parts.clock)
+        backoff = Backoff(self.owner.context.clock)
         while not await self.successor_named(dead):
             await backoff.pause()
 
@@ -135,14 +131,14 @@
 
 def chunks(table: ProgramTable, origin: str) -> list[list[Snapshot]]:
     """Split a table into commits of bounded size."""
-    parts: list[list[Snapshot]] = [[]]
+    context: list[list[Snapshot]] = [[]]
     size = 0
     for program in table.programs.values():
         snapshot = snapshot_of(program, origin)
         weight = len(msgspec.msgpack.encode(snapshot))
-        if parts[-1] and size + weight > CHUNK_BYTES:
-            parts.append([])
+        if context[-1] and size + weight > CHUNK_BYTES:
+            context.append([])
             size = 0
-        parts[-1].append(snapshot)
+        context[-1].append(snapshot)
         size += weight
-    return [part for part in parts if part]
+    return [part for part in context if part]
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -22,13 +22,13 @@
 from pollenwalk.process.placing import Placing
 from pollenwalk.process.store import ObjectStore
 from pollenwalk.process.tasks import TaskSet
-from pollenwalk.request.call_state import Call, end_of_wait
-from pollenwalk.request.plain import run_plain
+from pollenwalk.request.call_sender import ForwardingContext
+from pollenwalk.request.call_state import Call, call_deadline_ms
+from pollenwalk.request.http_messages import Request
 from pollenwalk.request.program_turn import ProgramTurn
 from pollenwalk.request.reply import Reply
-from pollenwalk.request.sends import Upstreams
-from pollenwalk.request.streamed import Turn, UnboundTurn, run_stream
-from pollenwalk.request.traits import Request
+from pollenwalk.request.streaming import StandaloneTurn, Turn, run_stream
+from pollenwalk.request.unary import run_unary
 from pollenwalk.version.active_configuration import ActiveConfiguration
 from pollenwalk.version.routes import Route, RoutingConfiguration
 
@@ -80,7 +80,7 @@
         store: ObjectStore,
         network: StreamNetwork,
         clock: Clock,
-        dice: random.Random,
+        rng: random.Random,
     ) -> None:
         """Prepare; nothing is known yet."""
         self.settings = settings
@@ -94,12 +94,14 @@
         placing = Placing(
             clock,
             self.book,
-            EarliestFinish(dice),
+            EarliestFinish(rng),
             settings.zone,
             settings.regions,
         )
         self.metrics = GatewayMetrics()
-        self.upstreams = Upstreams(clock, self.pool, placing, self.metrics, dice)
+        self.forwarding_context = ForwardingContext(
+            clock, self.pool, placing, self.metrics, rng
+        )
         self.links = KeeperLinks(
             network,
             clock,
@@ -225,9 +227,9 @@
 
     async def run_in_time(self, call: Call, reply: Reply) -> None:
         """Run a call until the caller or the route stops waiting."""
-        rest_ms = call.rest_ms(self.clock.now_ms())
+        remaining_ms = call.remaining_ms(self.clock.now_ms())
         try:
-            async with self.clock.timeout_ms(rest_ms):
+            async with self.clock.timeout_ms(remaining_ms):
                 await self.run(call, reply)
         except TimeoutError as error:
             raise deadline_passed() from error
@@ -251,23 +253,23 @@
                 RefusalCode.UNKNOWN_ROUTE,
                 f'no route at version {current.version}',
             )
-        if not request.traits.id:
+        if not request.metadata.id:
             raise Refusal(RefusalCode.MALFORMED, 'the request has no id')
         return make_call(current, route, request)
 
     async def run(self, call: Call, reply: Reply) -> None:
         """Run a call the way its route asks for."""
         if call.route.is_streaming:
-            await run_stream(self.upstreams, call, self.turn_of(call), reply)
+            await run_stream(self.forwarding_context, call, self.turn_of(call), reply)
         else:
-            await run_plain(self.upstreams, call, reply)
+            await run_unary(self.forwarding_context, call, reply)
 
     def turn_of(self, call: Call) -> Turn:
         """Tell what a stream means to its program."""
         keeps = call.route.keeps_history
-        if keeps or call.request.traits.budget is not None:
+        if keeps or call.request.metadata.budget is not None:
             return ProgramTurn(self.keepers, call, self.metrics)
-        return UnboundTurn(call.request.body)
+        return StandaloneTurn(call.request.body)
 
 
 def deadline_passed() -> Refusal:
@@ -277,13 +279,13 @@
 
 def make_call(current: RoutingConfiguration, route: Route, request: Request) -> Call:
     """Choose the upstream of a call and the end of its time."""
-    traits = request.traits
+    metadata = request.metadata
     return Call(
         request=request,
         route=route,
-        upstream=pick_upstream(route, traits.program or traits.id),
+        upstream=pick_upstream(route, metadata.program or metadata.id),
         version=current.version,
-        ends_ms=end_of_wait(request, route),
+        deadline_at_ms=call_deadline_ms(request, route),
         tokens_per_event=current.tokens_per_event(route),
     )
 
--- a/pollenwalk/program/live.py
+++ b/pollenwalk/program/live.py
@@ -144,7 +144,7 @@
             remaining_ms = gap_since_ms + GAP_WAIT_MS - self.clock.now_ms()
             if remaining_ms <= 0:
                 raise self.gap_refusal(call.request)
-            await self.wait_for_change(min(remaining_ms, call.left_ms()))
+            await self.wait_for_change(min(remaining_ms, call.remaining_ms()))
         self.check_waiting(call)
 
     def check_waiting(self, call: LiveCall) -> None:
@@ -155,7 +155,7 @@
         """
         if self.ending or self.program.ended:
             raise Refusal(RefusalCode.PROGRAM_ENDED, 'the program has ended')
-        if call.left_ms() <= 0:
+        if call.remaining_ms() <= 0:
             raise Refusal(
                 RefusalCode.DEADLINE,
                 'the deadline passed while waiting for earlier calls',
--- a/pollenwalk/request/routing.py
+++ b/pollenwalk/request/routing.py
@@ -57,19 +57,19 @@
         self.directory = directory
         self.peers = peers
         self.location = location
-        self.clock = owner.parts.clock
+        self.clock = owner.context.clock
         self.open_requests = 0
         self.forwarded = 0
 
     @property
     def incarnation(self) -> str:
         """Give the incarnation whose programs are served here."""
-        return self.owner.parts.incarnation
+        return self.owner.context.incarnation
 
     def is_here(self, program_id: str) -> bool:
         """Tell whether this entry is a program's home."""
         if program_id in self.owner.table.programs:
-            return not self.owner.parts.recorder.journal.fenced
+            return not self.owner.context.recorder.journal.fenced
         return owner_of(program_id) == self.incarnation
 
     async def locate(self, program_id: str) -> EntryRecord:
@@ -125,9 +125,9 @@
         A commit and a dispatch are short ways there, while the link between
         regions is slow, narrow and paid by volume.
         """
-        spec = self.owner.parts.config.program(request.declaration)
+        spec = self.owner.context.config.program(request.declaration)
         upstreams = spec.upstreams if spec else []
-        fleet = self.owner.parts.fleet
+        fleet = self.owner.context.fleet
         regions = Counter(host.region for host in fleet.views_of(upstreams))
         own = self.location.region
         if not regions or regions[own] == max(regions.values()):
@@ -226,8 +226,8 @@
     ) -> AsyncIterator[Tokens | Answer]:
         """Run a call at one home after the other until one answers."""
         while True:
-            left_ms = deadline_ms - self.clock.now_ms()
-            request = request._replace(deadline_in_ms=left_ms)
+            remaining_ms = deadline_ms - self.clock.now_ms()
+            request = request._replace(deadline_in_ms=remaining_ms)
             try:
                 async for item in self.call_once(request):
                     yield item
--- a/standin/experiments/placement.py
+++ b/standin/experiments/placement.py
@@ -14,11 +14,11 @@
     ExpectedFinish,
     HostView,
     LeastLoaded,
-    Need,
     Placement,
+    PlacementRequest,
     RoundRobin,
     Sticky,
-    path_ms,
+    round_trip_ms,
 )
 from standin.caller import Caller, Story, Tally
 from standin.demo import percentiles
@@ -73,40 +73,42 @@
         """Look into the engines of `world`."""
         self.world = world
 
-    def choose(self, hosts: Sequence[HostView], need: Need) -> HostView | None:
+    def choose(
+        self, hosts: Sequence[HostView], request: PlacementRequest
+    ) -> HostView | None:
         """Pick the host that truly finishes first."""
         return min(
             hosts,
-            key=lambda host: (self.finish_ms(host, need), host.sidecar),
+            key=lambda host: (self.finish_ms(host, request), host.sidecar),
             default=None,
         )
 
-    def finish_ms(self, host: HostView, need: Need) -> float:
+    def finish_ms(self, host: HostView, request: PlacementRequest) -> float:
         """Count the steps before the call's first token."""
         engine = self.world.engines.get(host.sidecar)
         if engine is None:
-            return path_ms(host, need) + host.ahead
-        cached = engine.cache.get(need.program, 0)
+            return round_trip_ms(host, request) + host.estimated_calls
+        cached = engine.cache.get(request.program, 0)
         sidecar = self.world.sidecars[host.sidecar].sidecar
         work = [
-            one.to_prefill * need.prefill_ms
+            one.to_prefill * request.prefill_ms
             + (one.request.max_tokens - len(one.stream.texts)) * engine.shape.step_ms
             for one in engine.batch
         ]
-        waiting = len(sidecar.work.admission.waiting) + len(engine.waiting)
+        waiting = len(sidecar.work.slot_queue.waiting) + len(engine.waiting)
         free = max(engine.shape.slots - len(work), 0)
-        typical = sum(work) / len(work) if work else need.answer_ms
+        typical = sum(work) / len(work) if work else request.expected_decode_ms
         queue_ms = max(waiting + 1 - free, 0) * typical / engine.shape.slots
-        prefill_ms = max(need.prompt_tokens - cached, 0) * need.prefill_ms
-        return path_ms(host, need) + queue_ms + prefill_ms
+        prefill_ms = max(request.prompt_tokens - cached, 0) * request.prefill_ms
+        return round_trip_ms(host, request) + queue_ms + prefill_ms
 
 
-def make_policy(name: str, world: World, dice: random.Random) -> Placement:
+def make_policy(name: str, world: World, rng: random.Random) -> Placement:
     """Make a policy of a name."""
     makers: dict[str, Callable[[], Placement]] = {
         'round-robin': RoundRobin,
-        'least-loaded': lambda: LeastLoaded(dice),
-        'sticky': lambda: Sticky(dice),
+        'least-loaded': lambda: LeastLoaded(rng),
+        'sticky': lambda: Sticky(rng),
         OURS: ExpectedFinish,
         ORACLE: lambda: Oracle(world),
     }
@@ -125,8 +127,8 @@
     for number, process in enumerate(world.entries.values()):
         policy = make_policy(name, world, random.Random(seed + number))
         process.entry.placement = policy
-        parts = process.entry.owner.parts._replace(placement=policy)
-        process.entry.owner.parts = parts
+        context = process.entry.owner.context._replace(placement=policy)
+        process.entry.owner.context = context
     crossed = world.fabric.map.crossed_bytes
     tally = await drive(world, load, seed)
     fast = [one for one in tally.latency_ms if one <= deadline_ms()]
@@ -155,7 +157,7 @@
 
 async def drive(world: World, load: float, seed: int) -> Tally:
     """Begin programs at the rate that makes the load, and wait for all."""
-    dice = random.Random(f'arrivals/{seed}/{load}')
+    rng = random.Random(f'arrivals/{seed}/{load}')
     door = WorldDoor(world, random.Random(seed))
     tally = Tally(world.ledger)
     rate = load * PROGRAMS_PER_ENGINE_SECOND * len(MODELS)
@@ -166,7 +168,7 @@
         number += 1
         caller = Caller(name, door, world.clock, random.Random(f'{seed}/{name}'), tally)
         running.append(asyncio.ensure_future(caller.run(STORY)))
-        await world.clock.sleep_ms(dice.expovariate(rate / MS_PER_SECOND))
+        await world.clock.sleep_ms(rng.expovariate(rate / MS_PER_SECOND))
     await asyncio.gather(*running)
     return tally
 
--- a/test/program/test_budget_rounds.py
+++ b/test/program/test_budget_rounds.py
@@ -6,21 +6,18 @@
 own. A search looks for the order of answers that permits the most tokens.
 """
 
+from collections.abc import Callable
+from collections.abc import Iterator
+from pollenwalk.program.ledger import AnswerCount
+from pollenwalk.program.ledger import BudgetDecision
+from pollenwalk.program.ledger import decide_reservation
+from pollenwalk.program.ledger import fits_with_hidden_turns
+from pollenwalk.program.turns import TokenEntry
+from typing import NamedTuple
 import itertools
 import random
-from collections.abc import Callable, Iterator
-from typing import NamedTuple
-
 import testtools
 
-from pollenwalk.program.ledger import (
-    AnswerCount,
-    BudgetDecision,
-    decide_reservation,
-    fits_with_hidden_turns,
-)
-from pollenwalk.program.turns import TokenEntry
-
 Step = tuple[int, int]
 Rule = Callable[[BudgetDecision, int, int, AnswerCount], bool]
 ROUNDS = 2
@@ -121,22 +118,22 @@
     return list(pairs) * ROUNDS
 
 
-def moved_orders(order: list[Step], dice: random.Random) -> Iterator[list[Step]]:
+def moved_orders(order: list[Step], rng: random.Random) -> Iterator[list[Step]]:
     """Yield orders in which one random answer has another place."""
     while True:
         moved_order = list(order)
-        step = moved_order.pop(dice.randrange(len(moved_order)))
-        moved_order.insert(dice.randrange(len(order)), step)
+        step = moved_order.pop(rng.randrange(len(moved_order)))
+        moved_order.insert(rng.randrange(len(order)), step)
         yield moved_order
 
 
-def search_worst_order(case: BudgetCase, dice: random.Random) -> int:
+def search_worst_order(case: BudgetCase, rng: random.Random) -> int:
     """Search for the order that permits the most tokens; return these."""
     order = steps(case)
-    dice.shuffle(order)
+    rng.shuffle(order)
     highest_tokens = running_tokens(case, order)
     for _ in range(SEARCH_STEPS):
-        moved_order = next(moved_orders(order, dice))
+        moved_order = next(moved_orders(order, rng))
         moved_tokens = running_tokens(case, moved_order)
         if moved_tokens >= highest_tokens:
             highest_tokens = moved_tokens
@@ -144,14 +141,14 @@
     return highest_tokens
 
 
-def draw_cases(dice: random.Random, count: int, rule: Rule) -> Iterator[BudgetCase]:
+def draw_cases(rng: random.Random, count: int, rule: Rule) -> Iterator[BudgetCase]:
     """Draw random numbers of keepers, turns and budgets."""
     for _ in range(count):
-        max_tokens = [dice.randint(1, 3) for _ in range(dice.randint(2, 11))]
-        if dice.random() < 0.5:
+        max_tokens = [rng.randint(1, 3) for _ in range(rng.randint(2, 11))]
+        if rng.random() < 0.5:
             max_tokens = [1 for _ in max_tokens]
-        budget = dice.randint(1, sum(max_tokens))
-        yield BudgetCase(dice.choice((2, 3, 3, 5, 8)), max_tokens, budget, rule)
+        budget = rng.randint(1, sum(max_tokens))
+        yield BudgetCase(rng.choice((2, 3, 3, 5, 8)), max_tokens, budget, rule)
 
 
 def headroom_of_four_turns(
@@ -176,10 +173,10 @@
 
         The bound is the budget and the `max_tokens` of one turn.
         """
-        dice = random.Random(seed)
+        rng = random.Random(seed)
         return max(
-            search_worst_order(case, dice) - case.budget - max(case.max_tokens)
-            for case in draw_cases(dice, count, rule)
+            search_worst_order(case, rng) - case.budget - max(case.max_tokens)
+            for case in draw_cases(rng, count, rule)
         )
 
     def test_worst_orders_found_stay_within_the_bound(self) -> None:
