--- a/pollenwalk/process/beginnings.py
+++ b/pollenwalk/process/beginnings.py
@@ -1,8 +1,10 @@
 """Beginning programs: keys, ids, and the limits of callers and parents."""
 
+import asyncio
+from typing import NamedTuple
+
 from pollenwalk.connection.wire import BeginProgram
-from pollenwalk.errors import Refusal
-from pollenwalk.errors import RefusalCode
+from pollenwalk.errors import Refusal, RefusalCode
 from pollenwalk.policy.program_admission import has_capacity
 from pollenwalk.process.ids import new_program_id
 from pollenwalk.process.owner_interface import OwnerInterface
@@ -10,12 +12,8 @@
 from pollenwalk.program.budget import Budget
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.program.program import Program
-from pollenwalk.program.records import Begun
-from pollenwalk.program.records import Claimed
-from pollenwalk.program.records import Record
+from pollenwalk.program.records import Begun, Claimed, Record
 from pollenwalk.version.resources import ProgramSpec
-from typing import NamedTuple
-import asyncio
 
 BEGIN_WAIT_MS = 2000
 RETRY_AFTER_MS = 1000
--- a/test/program/test_budget_rounds.py
+++ b/test/program/test_budget_rounds.py
@@ -6,18 +6,21 @@
 own. A search looks for the order of answers that permits the most tokens.
 """
 
-from collections.abc import Callable
-from collections.abc import Iterator
-from pollenwalk.program.ledger import AnswerCount
-from pollenwalk.program.ledger import BudgetDecision
-from pollenwalk.program.ledger import decide_reservation
-from pollenwalk.program.ledger import fits_with_hidden_turns
-from pollenwalk.program.turns import TokenEntry
-from typing import NamedTuple
 import itertools
 import random
+from collections.abc import Callable, Iterator
+from typing import NamedTuple
+
 import testtools
 
+from pollenwalk.program.ledger import (
+    AnswerCount,
+    BudgetDecision,
+    decide_reservation,
+    fits_with_hidden_turns,
+)
+from pollenwalk.program.turns import TokenEntry
+
 Step = tuple[int, int]
 Rule = Callable[[BudgetDecision, int, int, AnswerCount], bool]
 ROUNDS = 2
