--- a/test/program/test_ledger.py
+++ b/test/program/test_ledger.py
@@ -149,7 +149,7 @@
         self.assertEqual('', index.use_chain('b').missing)
 
     @virtual
-    async def test_bounded_index_evicts_the_least_recently_used(self) -> None:
+    async def test_bounded_index_evicts_least_recently_used(self) -> None:
         index = TurnIndex(make_clock(), 10)
         for name in 'abcd':
             index.put(self.turn(name))
