--- a/pollenwalk/process/metrics.py
+++ b/pollenwalk/process/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of an entry, with their units in their names."""
+"""The metrics of an entry; the names contain the units."""
 
 import contextlib
 import time
@@ -11,7 +11,7 @@
 
 
 class EntryMetrics:
-    """Counters that requests feed and gauges read at each scrape."""
+    """Counters updated by requests, and gauges updated at each scrape."""
 
     def __init__(self) -> None:
         """Register all metrics."""
@@ -41,36 +41,40 @@
         )
 
     def counter(self, name: str, text: str) -> Counter:
-        """Register a counter."""
+        """Create and register a counter."""
         return Counter(f'pollenwalk_{name}', text, registry=self.registry)
 
     def gauge(self, name: str, text: str) -> Gauge:
-        """Register a gauge."""
+        """Create and register a gauge."""
         return Gauge(f'pollenwalk_{name}', text, registry=self.registry)
 
-    def begun(self) -> None:
-        """Count a program."""
+    def count_program(self) -> None:
+        """Count a program that has begun."""
         self.begun_total.inc({})
 
-    def refused(self, refusal: Refusal) -> None:
+    def count_refusal(self, refusal: Refusal) -> None:
         """Count a refusal by its code and outcome."""
         self.refused_total.inc(
             {'code': str(refusal.code), 'outcome': str(refusal.outcome)},
         )
 
-    def streamed(self, tokens: int) -> None:
+    def count_tokens(self, tokens: int) -> None:
         """Count streamed tokens."""
         self.tokens_total.add({}, tokens)
 
     @contextlib.contextmanager
-    def timed(self) -> Iterator[None]:
-        """Time a whole call."""
-        begun = time.perf_counter()
+    def time_call(self) -> Iterator[None]:
+        """Record the duration of the block as that of a call, unless it raises."""
+        started = time.perf_counter()
         yield
-        self.call_seconds.observe({}, time.perf_counter() - begun)
+        self.call_seconds.observe({}, time.perf_counter() - started)
 
     def render(self, entry: EntryInterface) -> tuple[bytes, str]:
-        """Read the gauges off an entry and give the text of all metrics."""
+        """Update the gauges from an entry and return all metrics.
+
+        Returns:
+            The metrics in the Prometheus text format, and their content type.
+        """
         self.programs.set({}, len(entry.owner.table.programs))
         self.pending.set({}, len(entry.journal.pending))
         self.segments.set({}, entry.journal.segments_written)
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -57,7 +57,7 @@
         resolver = Resolver(
             self.context.peers(intent.address),
             self.context.clock,
-            intent.boot,
+            intent.boot_id,
         )
         until_ms = self.context.clock.now_ms() + RECOVERY_MS
         try:
--- a/pollenwalk/program/records.py
+++ b/pollenwalk/program/records.py
@@ -73,7 +73,7 @@
         operation: the upstream's operation.
         argument: input of the operation.
         address: address of the sidecar.
-        boot: id of the sidecar's start that is meant.
+        boot_id: id of the sidecar's start that is meant.
         incarnation: id of the owner's start that hands the call over.
     """
 
@@ -85,7 +85,7 @@
     operation: str
     argument: dict[str, Any]
     address: str
-    boot: str
+    boot_id: str
     incarnation: str
 
 
