--- a/pollenwalk/process/beginnings.py
+++ b/pollenwalk/process/beginnings.py
@@ -212,7 +212,7 @@
                 back at once.
         """
         spec = self.context.config.program(request.declaration)
-        level = self.context.config.level(spec.priority)
+        level = self.context.config.priority_level(spec.priority)
         for name in spec.upstreams:
             upstream = self.context.config.upstream(name)
             hosts = self.context.fleet.available_hosts(name)
