--- a/pollenwalk/process/call_executor.py
+++ b/pollenwalk/process/call_executor.py
@@ -116,8 +116,8 @@
         Raises:
             Refusal: the time is up, or the upstream failed.
         """
-        left_ms = deadline_ms - self.clock.now_ms()
-        limit_ms = min(left_ms, float(self.spec.timeout_ms))
+        remaining_ms = deadline_ms - self.clock.now_ms()
+        limit_ms = min(remaining_ms, float(self.spec.timeout_ms))
         with self.tracer.span('upstream', call.message.trace):
             try:
                 async with self.clock.timeout_ms(limit_ms):
--- a/pollenwalk/process/fleet.py
+++ b/pollenwalk/process/fleet.py
@@ -1,8 +1,8 @@
 """The upstream hosts known to an entry, from the reports of their sidecars.
 
-Reports lag behind, so the calls that this entry has at a host are counted
-exactly and added to the load of others in the last report. A host gets no new
-calls once its reports stop coming, or as soon as it says that it is leaving.
+Reports lag behind, so this entry counts its own calls at each host; only the
+calls of other entries are estimated, from the last report or answer. A host
+gets no new calls once its reports stop, or as soon as it says that it is leaving.
 """
 
 from collections.abc import Iterator
@@ -12,6 +12,7 @@
 from pollenwalk.policy.placement import HostView
 from pollenwalk.process.clock import Clock
 
+# Report intervals without a report after which a host gets no new calls.
 SILENT_AFTER_INTERVALS = 3.5
 INITIAL_REPORT_INTERVAL_MS = 1000
 
--- a/pollenwalk/process/resource_client.py
+++ b/pollenwalk/process/resource_client.py
@@ -89,12 +89,12 @@
         key = desired_key(resource_id)
         body = encode_desired(resource_id, keys)
         backoff = Backoff(self.clock)
-        until_ms = self.clock.now_ms() + WRITE_TIMEOUT_MS
+        deadline_ms = self.clock.now_ms() + WRITE_TIMEOUT_MS
         while True:
             try:
                 return await self.write(key, body, version)
             except StoreUnavailable:
-                if self.clock.now_ms() > until_ms:
+                if self.clock.now_ms() > deadline_ms:
                     raise
             await backoff.pause()
 
@@ -136,8 +136,8 @@
         Raises:
             StoreUnavailable: the store did not answer.
         """
-        until_ms = self.clock.now_ms() + STATUS_TIMEOUT_MS
-        while self.clock.now_ms() < until_ms:
+        deadline_ms = self.clock.now_ms() + STATUS_TIMEOUT_MS
+        while self.clock.now_ms() < deadline_ms:
             stored = await self.store.get(status_key(resource_id))
             if stored is not None:
                 status = STATUS_DECODER.decode(stored.body)
--- a/pollenwalk/process/sidecar.py
+++ b/pollenwalk/process/sidecar.py
@@ -57,7 +57,18 @@
 
 
 class Sidecar:
-    """A running sidecar, from one start of its process to its end."""
+    """A running sidecar, from one start of its process to its end.
+
+    Attributes:
+        boot_id: random id of this start.
+        spec_version: version of the declaration that is in force; 0 for none.
+        entries: addresses of the entries to report to.
+        entries_digest: digest of the entries' last reply. Reports repeat it,
+            so that an entry replies only if the addresses or the report
+            interval have changed.
+        report_number: number of the last report, counted from 1.
+        leaving: whether new calls are refused.
+    """
 
     def __init__(
         self,
@@ -110,8 +121,8 @@
         """
         self.leaving = True
         self.send_report()
-        until_ms = self.clock.now_ms() + STOP_TIMEOUT_MS
-        while self.has_open_calls() and self.clock.now_ms() < until_ms:
+        deadline_ms = self.clock.now_ms() + STOP_TIMEOUT_MS
+        while self.has_open_calls() and self.clock.now_ms() < deadline_ms:
             await self.clock.sleep_ms(STOP_POLL_MS)
         await self.clock.sleep_ms(STOP_POLL_MS)
         await self.close()
--- a/pollenwalk/process/sidecar_calls.py
+++ b/pollenwalk/process/sidecar_calls.py
@@ -70,6 +70,9 @@
 class EpochFence:
     """Rejects dispatches that arrive on replaced or sealed connections.
 
+    Each connection has an epoch, which grows with every connection that an
+    incarnation of an entry opens to this sidecar.
+
     When an owner reconnects, its older connections become stale. When a
     successor asks about a call of a sealed incarnation, all connections of that
     incarnation become stale permanently. So a call that this sidecar did not
--- a/pollenwalk/process/sidecar_histories.py
+++ b/pollenwalk/process/sidecar_histories.py
@@ -57,7 +57,7 @@
         return shorter
 
     def append_turn(self, message: Dispatch, answer: Answer) -> None:
-        """Append the entries of a finished call, just as the owner will do.
+        """Append the items of a finished call, just as the owner will do.
 
         Does nothing unless the cached history is the one the call was based on.
         """
--- a/pollenwalk/process/sidecar_service.py
+++ b/pollenwalk/process/sidecar_service.py
@@ -117,7 +117,7 @@
         if self.executor.spec is None:
             raise Refusal(
                 RefusalCode.NO_UPSTREAM,
-                'this sidecar has no declaration yet',
+                'this sidecar has not received the declaration of its upstream yet',
                 retry_after_ms=RETRY_AFTER_MS,
             )
 
