--- a/pollenwalk/process/call_placer.py
+++ b/pollenwalk/process/call_placer.py
@@ -12,7 +12,7 @@
 from pollenwalk.request.call_state import Call
 
 # Expected time of a call on an idle host before any was seen.
-UNKNOWN_RUN_MS = 150.0
+DEFAULT_RUN_MS = 150.0
 
 
 class CallPlacer:
@@ -81,10 +81,10 @@
 
     def expected_run_ms(self, call: Call) -> float:
         """Give the expected time of a call once it runs."""
-        return self.run_times.get(call.route.name, UNKNOWN_RUN_MS)
+        return self.run_times.get(call.route.name, DEFAULT_RUN_MS)
 
     def record_run_time(self, call: Call, run_ms: float) -> None:
         """Learn from a call that was answered whole and did not wait."""
-        known = self.expected_run_ms(call)
-        learnt = known + (run_ms - known) * SMOOTHING
-        self.run_times[call.route.name] = learnt
+        mean_ms = self.expected_run_ms(call)
+        updated_ms = mean_ms + (run_ms - mean_ms) * SMOOTHING
+        self.run_times[call.route.name] = updated_ms
--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -29,7 +29,7 @@
 )
 from pollenwalk.process.entry_service import EntryService
 from pollenwalk.process.fleet import Fleet, Location
-from pollenwalk.process.host_list import HostList, follow_hosts
+from pollenwalk.process.host_list import HostList, poll_host_list
 from pollenwalk.process.journal import Journal
 from pollenwalk.process.liveness import LOOK_MS, OBSERVERS, Liveness
 from pollenwalk.process.neighbours import Neighbours
@@ -210,7 +210,7 @@
         self.tasks.spawn(self.neighbours.watch_entries(), 'liveness')
         self.tasks.spawn(self.register(), 'register')
         if self.hosts is not None:
-            following = follow_hosts(self.hosts, self.fleet, self.clock)
+            following = poll_host_list(self.hosts, self.fleet, self.clock)
             self.tasks.spawn(following, 'hosts')
 
     async def serve(self, channel: Any) -> None:
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -33,21 +33,21 @@
 from pollenwalk.version.routes import Route, RoutingConfiguration
 
 # Retry-After before the configuration is known: a start takes about a second.
-STARTING_RETRY_MS = 500
+STARTUP_RETRY_AFTER_MS = 500
 # Read of a body before the configuration is known; the request is refused
 # all the same, and an early answer must not meet a body that still comes.
-STARTING_BODY_BYTES = 4_194_304
+STARTUP_MAX_BODY_BYTES = 4_194_304
 # Watches of the configuration last this share of the time within which it has
 # to be in force, so that one that has heard nothing is made again early enough.
-CONFIGURATION_SHARE = 0.5
+CONFIGURATION_WATCH_SHARE = 0.5
 # Hosts that leave must be noticed before they stop; the rest of the time is
 # for a slow store.
-MEMBERS_SHARE = 0.6
+MEMBERSHIP_WATCH_SHARE = 0.6
 # A gateway that reaches no majority of the keepers for so long lets callers
 # go to others; shorter than a balancer's second look.
-UNDECIDED_MS = 500.0
+MAX_WITHOUT_MAJORITY_MS = 500.0
 # One more than the greatest checksum.
-DRAWS = 4_294_967_296
+CHECKSUM_VALUES = 4_294_967_296
 
 
 class GatewaySettings(NamedTuple):
@@ -119,15 +119,17 @@
     @property
     def ready(self) -> bool:
         """Tell whether new callers may come."""
-        known = self.active_configuration.current is not None and self.host_table.loaded
-        known = known and self.links.members.loaded
-        decided = self.links.without_majority_ms < UNDECIDED_MS
-        return known and decided and not self.stopping
+        loaded = (
+            self.active_configuration.current is not None and self.host_table.loaded
+        )
+        loaded = loaded and self.links.members.loaded
+        majority_ok = self.links.without_majority_ms < MAX_WITHOUT_MAJORITY_MS
+        return loaded and majority_ok and not self.stopping
 
     def max_body_bytes(self) -> int:
         """Give the largest body that a caller may send now."""
         current = self.active_configuration.current
-        return current.limits.max_body_bytes if current else STARTING_BODY_BYTES
+        return current.limits.max_body_bytes if current else STARTUP_MAX_BODY_BYTES
 
     async def start(self) -> None:
         """Follow the store."""
@@ -135,42 +137,42 @@
         configuration = WatchHandlers(
             self.active_configuration.apply,
             self.host_table.store_answered,
-            lambda error: self.store_failed('configuration', error),
+            lambda error: self.on_store_unavailable('configuration', error),
             relay,
         )
         hosts = WatchHandlers(
             self.host_table.apply_change,
             self.on_hosts_read,
-            lambda error: self.store_failed('hosts', error),
+            lambda error: self.on_store_unavailable('hosts', error),
             relay,
         )
         keepers = WatchHandlers(
             self.links.members.apply_change,
             self.links.members.mark_loaded,
-            lambda error: self.store_failed('keepers', error),
+            lambda error: self.on_store_unavailable('keepers', error),
             relay,
         )
-        wait_ms = self.settings.change_delay_ms * CONFIGURATION_SHARE
-        members_wait_ms = self.settings.leave_notice_ms * MEMBERS_SHARE
-        self.follow(CONFIGURATION_PREFIX, configuration, wait_ms)
-        self.follow(HOSTS_PREFIX, hosts, members_wait_ms)
-        self.follow(KEEPERS_PREFIX, keepers, members_wait_ms)
+        wait_ms = self.settings.change_delay_ms * CONFIGURATION_WATCH_SHARE
+        membership_wait_ms = self.settings.leave_notice_ms * MEMBERSHIP_WATCH_SHARE
+        self.spawn_watcher(CONFIGURATION_PREFIX, configuration, wait_ms)
+        self.spawn_watcher(HOSTS_PREFIX, hosts, membership_wait_ms)
+        self.spawn_watcher(KEEPERS_PREFIX, keepers, membership_wait_ms)
 
-    def follow(
+    def spawn_watcher(
         self,
         prefix: str,
         handlers: WatchHandlers,
         wait_ms: float,
     ) -> None:
         """Follow one kind of objects for as long as the process lives."""
-        follower = PrefixWatcher(
+        watcher = PrefixWatcher(
             self.store,
             self.clock,
             prefix,
             handlers,
             wait_ms,
         )
-        self.tasks.spawn(follower.run(), f'follow {prefix}')
+        self.tasks.spawn(watcher.run(), f'follow {prefix}')
 
     def on_hosts_read(self) -> None:
         """Note that the list of hosts is fresh."""
@@ -178,7 +180,7 @@
         self.host_table.store_answered()
         self.pool.drop(set(self.host_table.states))
 
-    def store_failed(self, what: str, error: StoreUnavailable) -> None:
+    def on_store_unavailable(self, what: str, error: StoreUnavailable) -> None:
         """Note that the store gave no answer, so that lists may be stale."""
         self.host_table.store_failed()
         self.metrics.count_store_failure(what)
@@ -206,10 +208,10 @@
             Refusal: it gets no answer of an upstream host.
             BrokenAnswer: its stream broke off.
         """
-        call = self.accept(request)
+        call = self.prepare_call(request)
         outcome = 'refused'
         try:
-            await self.run_in_time(call, reply)
+            await self.run_until_deadline(call, reply)
             outcome = 'answered'
         except asyncio.CancelledError:
             outcome = 'caller_left'
@@ -225,7 +227,7 @@
                 took_ms=round(took_ms),
             )
 
-    async def run_in_time(self, call: Call, reply: Reply) -> None:
+    async def run_until_deadline(self, call: Call, reply: Reply) -> None:
         """Run a call until the caller or the route stops waiting."""
         remaining_ms = call.remaining_ms(self.clock.now_ms())
         try:
@@ -234,7 +236,7 @@
         except TimeoutError as error:
             raise deadline_passed() from error
 
-    def accept(self, request: Request) -> Call:
+    def prepare_call(self, request: Request) -> Call:
         """Find the route and the upstream of a request.
 
         Raises:
@@ -245,7 +247,7 @@
             raise Refusal(
                 RefusalCode.NOT_CONFIGURED,
                 'this gateway is starting',
-                retry_after_ms=STARTING_RETRY_MS,
+                retry_after_ms=STARTUP_RETRY_AFTER_MS,
             )
         route = current.match(request.host, request.path)
         if route is None:
@@ -260,14 +262,14 @@
     async def run(self, call: Call, reply: Reply) -> None:
         """Run a call the way its route asks for."""
         if call.route.is_streaming:
-            await run_stream(self.forwarding_context, call, self.turn_of(call), reply)
+            await run_stream(self.forwarding_context, call, self.make_turn(call), reply)
         else:
             await run_unary(self.forwarding_context, call, reply)
 
-    def turn_of(self, call: Call) -> Turn:
+    def make_turn(self, call: Call) -> Turn:
         """Tell what a stream means to its program."""
-        keeps = call.route.keeps_history
-        if keeps or call.request.metadata.budget is not None:
+        keeps_history = call.route.keeps_history
+        if keeps_history or call.request.metadata.budget is not None:
             return ProgramTurn(self.keepers, call, self.metrics)
         return StandaloneTurn(call.request.body)
 
@@ -292,10 +294,10 @@
 
 def pick_upstream(route: Route, key: str) -> str:
     """Pick an upstream by the weights, the same one for all of a program."""
-    whole = sum(share.weight for share in route.shares)
-    draw = zlib.crc32(key.encode('latin-1')) / DRAWS * whole
+    total_weight = sum(share.weight for share in route.shares)
+    position = zlib.crc32(key.encode('latin-1')) / CHECKSUM_VALUES * total_weight
     for share in route.shares:
-        draw -= share.weight
-        if draw < 0:
+        position -= share.weight
+        if position < 0:
             return share.upstream
     return route.shares[-1].upstream
--- a/pollenwalk/process/gateway_daemon.py
+++ b/pollenwalk/process/gateway_daemon.py
@@ -27,17 +27,17 @@
 from pollenwalk.process.signals import stop_on_signals
 
 # The balancer asks once a second and takes a host out after two misses.
-BALANCER_NOTICES_MS = 2500.0
+BALANCER_NOTICE_MS = 2500.0
 # Left of the grace period for closing what is still open.
-CLOSING_MS = 700.0
-CHECK_MS = 50.0
+CLOSE_RESERVE_MS = 700.0
+DRAIN_CHECK_INTERVAL_MS = 50.0
 OK = HTTPStatus.OK
 NOT_READY = HTTPStatus.SERVICE_UNAVAILABLE
 # Longer than any configured idle time, so that a caller never meets the end
 # of a connection that it may still use.
-CALLERS_KEEP_ALIVE_S = 120
+CALLER_KEEP_ALIVE_S = 120
 # Settings may change without a signal.
-SETTINGS_CHECK_MS = 1000.0
+SETTINGS_CHECK_INTERVAL_MS = 1000.0
 
 
 def run_gateway(settings: Settings, path: Path) -> None:
@@ -83,16 +83,16 @@
             self.gateway.metrics.count_refusal,
             self.gateway.max_body_bytes,
         )
-        self.callers = HttpServer(
+        self.caller_server = HttpServer(
             self.app,
             *split_address(own['http']),
-            CALLERS_KEEP_ALIVE_S,
+            CALLER_KEEP_ALIVE_S,
         )
-        self.readiness = HttpServer(
+        self.readiness_server = HttpServer(
             self.readiness_app(),
             *split_address(own['ready']),
         )
-        self.metrics = metrics_server(
+        self.metrics_page = metrics_server(
             self.gateway.metrics,
             self.refresh_metrics,
             own['metrics'],
@@ -126,18 +126,18 @@
 
     def servers(self) -> tuple[HttpServer, ...]:
         """Give the servers, the callers' first."""
-        return self.callers, self.readiness, self.metrics
+        return self.caller_server, self.readiness_server, self.metrics_page
 
     async def drain(self, grace_ms: float) -> None:
         """Take no new callers and finish the requests in progress."""
-        begun_ms = self.clock.now_ms()
+        started_ms = self.clock.now_ms()
         logger.info('stopping', in_progress=self.app.in_progress)
         self.gateway.stopping = True
         self.app.closing = True
-        last_ms = begun_ms + max(grace_ms - CLOSING_MS, 0)
-        await self.clock.sleep_ms(min(BALANCER_NOTICES_MS, last_ms - begun_ms))
-        while self.app.in_progress and self.clock.now_ms() < last_ms:
-            await self.clock.sleep_ms(CHECK_MS)
+        deadline_at_ms = started_ms + max(grace_ms - CLOSE_RESERVE_MS, 0)
+        await self.clock.sleep_ms(min(BALANCER_NOTICE_MS, deadline_at_ms - started_ms))
+        while self.app.in_progress and self.clock.now_ms() < deadline_at_ms:
+            await self.clock.sleep_ms(DRAIN_CHECK_INTERVAL_MS)
         for server in self.servers():
             await server.stop()
         await self.gateway.stop()
@@ -146,12 +146,12 @@
 
     async def watch_settings(self) -> None:
         """Reload the settings when their file has changed."""
-        known = self.path.read_bytes()
+        current = self.path.read_bytes()
         while True:
-            await self.clock.sleep_ms(SETTINGS_CHECK_MS)
-            found = self.path.read_bytes()
-            if found != known:
-                known = found
+            await self.clock.sleep_ms(SETTINGS_CHECK_INTERVAL_MS)
+            latest = self.path.read_bytes()
+            if latest != current:
+                current = latest
                 self.reload()
 
     def reload(self) -> None:
--- a/pollenwalk/process/host_list.py
+++ b/pollenwalk/process/host_list.py
@@ -8,7 +8,7 @@
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.fleet import Fleet
 
-POLL_MS = 1000
+POLL_INTERVAL_MS = 1000
 
 
 class HostList(Protocol):
@@ -18,11 +18,11 @@
         """Give the IP addresses of leaving hosts; raises `ConnectionLost`."""
 
 
-async def follow_hosts(hosts: HostList, fleet: Fleet, clock: Clock) -> None:
+async def poll_host_list(hosts: HostList, fleet: Fleet, clock: Clock) -> None:
     """Send no new work to hosts that the platform says are leaving."""
     while True:
         try:
             fleet.mark_leaving(await hosts.leaving())
         except ConnectionLost as error:
             logger.debug('host_list_silent', reason=error.message)
-        await clock.sleep_ms(POLL_MS)
+        await clock.sleep_ms(POLL_INTERVAL_MS)
--- a/pollenwalk/process/host_table.py
+++ b/pollenwalk/process/host_table.py
@@ -16,19 +16,19 @@
 from pollenwalk.process.store import StoredObject
 
 # Living hosts are listed again about two seconds after the store is back.
-LISTED_AGAIN_MS = 2200.0
+REREGISTRATION_MS = 2200.0
 # How long after the store was last silent an entry may still lapse.
-STORE_UNSETTLED_MS = 4000.0
+STORE_RECOVERY_MS = 4000.0
 # The weight of a new service time in the running mean.
 SMOOTHING = 0.1
 # How long a host that failed is passed over, growing with each failure in a
 # row up to the second figure: a crashed process is back within seconds.
-FIRST_SUSPICION_MS = 300.0
-LAST_SUSPICION_MS = 4000.0
+MIN_SUSPICION_MS = 300.0
+MAX_SUSPICION_MS = 4000.0
 # More than lie between the two.
-MOST_DOUBLINGS = 4
+MAX_DOUBLINGS = 4
 # Reported load of other gateways is trusted for about one service time.
-REPORT_TRUST_MS = 400.0
+LOAD_REPORT_TRUST_MS = 400.0
 
 
 class HostState:
@@ -49,7 +49,7 @@
         self.registration = registration
         self.in_flight = 0
         self.other_calls = 0
-        self.reported_ms: float | None = None
+        self.reported_at_ms: float | None = None
         self.failures = 0
         self.suspected_until_ms = 0.0
         self.removal_due_ms: float | None = None
@@ -58,26 +58,26 @@
         """Take a load that the host told with an answer."""
         running, waiting, _ = load
         self.other_calls = max(running + waiting - self.in_flight, 0)
-        self.reported_ms = now_ms
+        self.reported_at_ms = now_ms
 
     def load(self, now_ms: float) -> float:
         """Estimate the calls at the host."""
         age_ms = self.report_age_ms(now_ms)
         if age_ms is None:
             return self.in_flight
-        trust = max(0.0, 1 - age_ms / (2 * REPORT_TRUST_MS))
+        trust = max(0.0, 1 - age_ms / (2 * LOAD_REPORT_TRUST_MS))
         return self.in_flight + self.other_calls * trust
 
     def report_age_ms(self, now_ms: float) -> float | None:
         """Give the age of the last report; None before the first."""
-        return None if self.reported_ms is None else now_ms - self.reported_ms
+        return None if self.reported_at_ms is None else now_ms - self.reported_at_ms
 
     def record_failure(self, now_ms: float) -> None:
         """Pass the host over for a while."""
         self.failures += 1
-        doublings = min(self.failures - 1, MOST_DOUBLINGS)
-        pause_ms = FIRST_SUSPICION_MS * 2**doublings
-        self.suspected_until_ms = now_ms + min(pause_ms, LAST_SUSPICION_MS)
+        doublings = min(self.failures - 1, MAX_DOUBLINGS)
+        pause_ms = MIN_SUSPICION_MS * 2**doublings
+        self.suspected_until_ms = now_ms + min(pause_ms, MAX_SUSPICION_MS)
 
     def record_success(self) -> None:
         """Trust the host again."""
@@ -100,7 +100,7 @@
         """Take a change of one host's entry."""
         name = stored.key.removeprefix(HOSTS_PREFIX)
         if not stored.body:
-            self.entry_deleted(name, stored.version)
+            self.registration_deleted(name, stored.version)
             return
         try:
             registration = decode_host(stored.key, stored.body)
@@ -125,28 +125,28 @@
             version=version,
         )
 
-    def entry_deleted(self, name: str, version: int) -> None:
+    def registration_deleted(self, host: str, version: int) -> None:
         """Drop a host, at once or when it had time to register again."""
-        state = self.states.get(name)
+        state = self.states.get(host)
         if state is None:
             return
-        grace_ms = LISTED_AGAIN_MS if self.entries_may_have_lapsed() else 0
+        grace_ms = REREGISTRATION_MS if self.registrations_may_have_lapsed() else 0
         state.removal_due_ms = self.clock.now_ms() + grace_ms
         logger.info(
             'upstream_host_gone',
-            host=name,
+            host=host,
             version=version,
             grace_ms=grace_ms,
         )
         self.remove_expired()
 
-    def entries_may_have_lapsed(self) -> bool:
+    def registrations_may_have_lapsed(self) -> bool:
         """Tell whether entries may have lapsed although their hosts live."""
         if self.store_unavailable_since_ms is not None:
             return True
         if self.store_recovered_ms is None:
             return False
-        return self.clock.now_ms() - self.store_recovered_ms < STORE_UNSETTLED_MS
+        return self.clock.now_ms() - self.store_recovered_ms < STORE_RECOVERY_MS
 
     def store_answered(self) -> None:
         """Note an answer of the store."""
@@ -163,12 +163,12 @@
     def remove_expired(self) -> None:
         """Forget the hosts whose time is over."""
         now_ms = self.clock.now_ms()
-        over = [
+        expired = [
             name
             for name, state in self.states.items()
             if state.removal_due_ms is not None and state.removal_due_ms <= now_ms
         ]
-        for name in over:
+        for name in expired:
             self.states.pop(name)
 
     def available_hosts(self, upstream: str) -> Iterator[HostState]:
--- a/pollenwalk/process/joining.py
+++ b/pollenwalk/process/joining.py
@@ -18,10 +18,10 @@
 # The next batch of a keeper that is fetched from must come within this; a
 # batch takes a fifth of a second on the narrowest link between regions.
 BATCH_TIMEOUT_MS = 1500.0
-FETCH_AGAIN_MS = 200.0
+FETCH_INTERVAL_MS = 200.0
 # A keeper that could not be reached for so long while another one joined is
 # replaced by it.
-REPLACED_AFTER_MS = 3000.0
+REPLACE_AFTER_MS = 3000.0
 
 
 class Joining:
@@ -35,18 +35,18 @@
     async def run(self) -> None:
         """Fetch everything, then take the place of a keeper that is gone."""
         keeper = self.keeper
-        begun_ms = keeper.clock.now_ms()
-        while not self.has_enough():
-            await self.fetch_all()
-            await keeper.clock.sleep_ms(FETCH_AGAIN_MS)
+        started_ms = keeper.clock.now_ms()
+        while not self.has_all_records():
+            await self.fetch_remaining()
+            await keeper.clock.sleep_ms(FETCH_INTERVAL_MS)
         keeper.state.log.mark_complete()
         logger.info('joined', fetched=sorted(self.fetched))
         await keeper.clock.sleep_ms(
-            begun_ms + REPLACED_AFTER_MS - keeper.clock.now_ms(),
+            started_ms + REPLACE_AFTER_MS - keeper.clock.now_ms(),
         )
         await self.replace_lost()
 
-    def has_enough(self) -> bool:
+    def has_all_records(self) -> bool:
         """Tell whether every record that counts has been fetched.
 
         This keeper's own former disk is one of the lost ones where it was a
@@ -56,10 +56,10 @@
         if not keeper.links.members.loaded:
             return False
         count = len(keeper.other_members()) + int(keeper.was_member)
-        needed = max(count - keeper.settings.tolerated_losses, 1)
-        return len(self.fetched) >= needed
+        required = max(count - keeper.settings.tolerated_losses, 1)
+        return len(self.fetched) >= required
 
-    async def fetch_all(self) -> None:
+    async def fetch_remaining(self) -> None:
         """Fetch from every keeper that has not given all yet."""
         for member in self.keeper.other_members():
             if member.name not in self.fetched and await self.fetch(member):
@@ -93,7 +93,7 @@
         Raises:
             TimeoutError: the next batch did not come in time.
         """
-        stream = peer.stream(PullRecords(self.lost()))
+        stream = peer.stream(PullRecords(self.lost_keepers()))
         while True:
             async with self.keeper.clock.timeout_ms(BATCH_TIMEOUT_MS):
                 batch = await anext(stream, None)
@@ -101,11 +101,11 @@
                 return
             yield batch
 
-    def lost(self) -> list[str]:
+    def lost_keepers(self) -> list[str]:
         """Name the keepers whose copies may be gone, this one included."""
-        reached = self.fetched
+        fetched = self.fetched
         names = [
-            one.name for one in self.keeper.other_members() if one.name not in reached
+            one.name for one in self.keeper.other_members() if one.name not in fetched
         ]
         return [*names, self.keeper.settings.name]
 
--- a/pollenwalk/process/keeper.py
+++ b/pollenwalk/process/keeper.py
@@ -41,9 +41,9 @@
 )
 
 # Records in one message: some hundred kilobytes.
-BATCH = 64
-REGISTER_EVERY_MS = 100.0
-EXPIRE_EVERY_MS = 5000.0
+MAX_BATCH_RECORDS = 64
+REGISTRATION_CHECK_INTERVAL_MS = 100.0
+EXPIRE_INTERVAL_MS = 5000.0
 
 
 class KeeperSettings(NamedTuple):
@@ -110,8 +110,8 @@
             self.on_keepers_read,
             self.on_store_unavailable,
         )
-        follower = PrefixWatcher(self.store, self.clock, KEEPERS_PREFIX, handlers)
-        self.tasks.spawn(follower.run(), 'follow_keepers')
+        watcher = PrefixWatcher(self.store, self.clock, KEEPERS_PREFIX, handlers)
+        self.tasks.spawn(watcher.run(), 'follow_keepers')
         self.tasks.spawn(self.keep_registered(), 'register')
         self.tasks.spawn(self.expire(), 'expire')
 
@@ -139,10 +139,10 @@
             for batch in batched(self.records_to_restore(message.lost)):
                 yield RecordBatch(self.state.complete, batch)
             return
-        begun_ms = self.clock.now_ms()
+        started_ms = self.clock.now_ms()
         answer = await self.answer_single(message)
         kind = {'kind': type(message).__name__}
-        took_ms = self.clock.now_ms() - begun_ms
+        took_ms = self.clock.now_ms() - started_ms
         self.metrics.messages_total.inc(kind)
         self.metrics.answer_seconds.observe(kind, took_ms / MS_PER_SECOND)
         yield answer
@@ -156,8 +156,8 @@
 
     def records_to_restore(self, lost: list[str]) -> Iterator[bytes]:
         """Encode what a keeper needs that stands in for lost ones."""
-        alive = self.links.members.by_name.keys() - set(lost)
-        turns = self.state.underreplicated_turns(alive, self.required_copies)
+        live = self.links.members.by_name.keys() - set(lost)
+        turns = self.state.underreplicated_turns(live, self.required_copies)
         return chain(self.state.account_records(), turns)
 
     async def answer_single(self, message: Any) -> Any:
@@ -223,7 +223,7 @@
         """Put this keeper into the store whenever it isn't there."""
         backoff = Backoff(self.clock)
         while True:
-            await self.clock.sleep_ms(REGISTER_EVERY_MS)
+            await self.clock.sleep_ms(REGISTRATION_CHECK_INTERVAL_MS)
             if not self.links.members.loaded or not self.needs_registration():
                 continue
             try:
@@ -245,8 +245,8 @@
         for the past.
         """
         listed = self.links.members.by_name.get(self.own_member.name)
-        wanted = self.state.complete and not self.retired
-        return wanted and listed != self.own_member
+        should_be_listed = self.state.complete and not self.retired
+        return should_be_listed and listed != self.own_member
 
     async def remove(self, member: Member) -> None:
         """Take a keeper off the list, however long the store is away."""
@@ -269,7 +269,7 @@
     async def expire(self) -> None:
         """Forget what is over, now and then."""
         while True:
-            await self.clock.sleep_ms(EXPIRE_EVERY_MS)
+            await self.clock.sleep_ms(EXPIRE_INTERVAL_MS)
             self.state.expire()
             await self.state.compact()
 
@@ -279,7 +279,7 @@
     batch: list[bytes] = []
     for record in records:
         batch.append(record)
-        if len(batch) >= BATCH:
+        if len(batch) >= MAX_BATCH_RECORDS:
             yield batch
             batch = []
     yield batch
--- a/pollenwalk/process/keeper_daemon.py
+++ b/pollenwalk/process/keeper_daemon.py
@@ -43,37 +43,37 @@
     keeper = make_keeper(settings, store)
     logger.info('start', role='keeper', name=keeper.settings.name)
     await keeper.start()
-    begin_changes(keeper, store)
-    page = await show_metrics(keeper, settings.of('keeper')['metrics'])
-    await stopped_or_failed(stopped, keeper)
+    start_membership_tasks(keeper, store)
+    page = await start_metrics_page(keeper, settings.of('keeper')['metrics'])
+    await wait_for_stop(stopped, keeper)
     await page.stop()
     await keeper.stop()
     await store.close()
     logger.info('stop', role='keeper', name=keeper.settings.name)
 
 
-async def show_metrics(keeper: Keeper, address: str) -> HttpServer:
+async def start_metrics_page(keeper: Keeper, address: str) -> HttpServer:
     """Serve the metrics of a keeper."""
     page = metrics_server(keeper.metrics, keeper.refresh_metrics, address)
     await page.start()
     return page
 
 
-def begin_changes(keeper: Keeper, store: PlatformStore) -> None:
+def start_membership_tasks(keeper: Keeper, store: PlatformStore) -> None:
     """Begin what changes the keepers: joining them, and leaving them."""
     keeper.tasks.spawn(Retirement(keeper, store).watch_requests(), 'follow_retirements')
     if not keeper.state.complete:
         keeper.tasks.spawn(Joining(keeper).run(), 'join')
 
 
-async def stopped_or_failed(stopped: asyncio.Event, keeper: Keeper) -> None:
+async def wait_for_stop(stopped: asyncio.Event, keeper: Keeper) -> None:
     """Wait until the process is told to stop.
 
     Raises:
         OSError: the disk failed; what was not synced is not acknowledged.
     """
-    stopping = asyncio.ensure_future(stopped.wait())
-    waiting = {stopping, keeper.log_writer} - {None}
+    stop_wait = asyncio.ensure_future(stopped.wait())
+    waiting = {stop_wait, keeper.log_writer} - {None}
     await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
     if not stopped.is_set() and keeper.log_writer is not None:
         await keeper.log_writer
--- a/pollenwalk/process/keeper_group.py
+++ b/pollenwalk/process/keeper_group.py
@@ -33,10 +33,10 @@
 CACHE_BYTES = 16_000_000
 # Settlements wait so long for company: much less than the second for which
 # a finished turn may still count at its most.
-SETTLE_EVERY_MS = 30.0
+SETTLE_INTERVAL_MS = 30.0
 # Pause before keepers that gave no answer are asked again: half of the pause
 # after which a lost one is probed.
-ASK_AGAIN_MS = 100.0
+RETRY_INTERVAL_MS = 100.0
 
 Result = TypeVar('Result')
 
@@ -67,17 +67,17 @@
 
     async def ask_all(self, message: Any) -> AsyncIterator[Any]:
         """Ask all keepers at once and give the answers as they come."""
-        asking = [
+        pending = [
             asyncio.ensure_future(self.links.ask(link, message))
             for link in self.links.ordered()
         ]
         try:
-            for done in asyncio.as_completed(asking):
+            for done in asyncio.as_completed(pending):
                 answer = await answer_or_none(done)
                 if answer is not None:
                     yield answer
         finally:
-            for task in asking:
+            for task in pending:
                 task.cancel()
 
     async def store_turn(self, record: TurnRecord) -> list[str]:
@@ -90,11 +90,13 @@
             Refusal: too few keepers answer.
         """
         links = [link for link in self.links.ordered() if not link.member.retiring]
-        names = [link.member.name for link in links[: self.required_copies]]
-        held = record._replace(replicas=names)
-        await TurnReplication(self.links, held, links, self.required_copies).make()
-        self.cache.put(held)
-        return names
+        replicas = [link.member.name for link in links[: self.required_copies]]
+        stored = record._replace(replicas=replicas)
+        await TurnReplication(
+            self.links, stored, links, self.required_copies
+        ).replicate()
+        self.cache.put(stored)
+        return replicas
 
     async def retry_until_acknowledged(
         self, work: Callable[[], Awaitable[Result]]
@@ -112,7 +114,7 @@
             except Refusal as refusal:
                 if refusal.code != RefusalCode.KEEPERS_UNAVAILABLE:
                     raise
-            await self.clock.sleep_ms(ASK_AGAIN_MS)
+            await self.clock.sleep_ms(RETRY_INTERVAL_MS)
 
     async def load_chain(self, turn: str) -> list[TurnRecord]:
         """Find a turn and all before it, the oldest first.
@@ -136,15 +138,15 @@
             Refusal: the turn does not exist, or nobody can be certain.
         """
         links = self.links.ordered()
-        absent = 0
+        without_turn = 0
         for link in links:
             found = await self.ask_for_chain(link, turn)
             if found is not None and found.turns:
                 return found
-            absent += int(found is not None and found.complete)
-        if links and absent >= len(links) - self.tolerated_losses:
+            without_turn += int(found is not None and found.complete)
+        if links and without_turn >= len(links) - self.tolerated_losses:
             raise Refusal(RefusalCode.UNKNOWN_TURN, f'no turn {turn}')
-        raise keepers_unavailable(f'{absent} of {len(links)} have no turn {turn}')
+        raise keepers_unavailable(f'{without_turn} of {len(links)} have no turn {turn}')
 
     async def ask_for_chain(self, link: KeeperLink, turn: str) -> Chain | None:
         """Ask one keeper for a turn; None where it gives no answer."""
@@ -153,8 +155,8 @@
     async def read_prefix(self, prefix: str) -> Changes | None:
         """List a prefix of the store by way of the first keeper that can."""
         for link in self.links.ordered():
-            asking = self.links.ask(link, ReadPrefix(prefix))
-            listing: Listing | None = await answer_or_none(asking)
+            pending = self.links.ask(link, ReadPrefix(prefix))
+            listing: Listing | None = await answer_or_none(pending)
             if listing is not None:
                 logger.info(
                     'store_read_by_keeper',
@@ -162,7 +164,7 @@
                     prefix=prefix,
                     revision=listing.revision,
                 )
-                objects = [StoredObject(*one) for one in listing.objects]
+                objects = [StoredObject(*listed) for listed in listing.objects]
                 return Changes(listing.revision, objects)
         return None
 
@@ -174,16 +176,16 @@
 
     async def send_settlements(self) -> None:
         """Send what has gathered; a keeper that misses it counts the most."""
-        await self.clock.sleep_ms(SETTLE_EVERY_MS)
+        await self.clock.sleep_ms(SETTLE_INTERVAL_MS)
         message = Settlements(self.unsettled)
         self.unsettled = []
-        asking = [self.links.ask(link, message) for link in self.links.ordered()]
-        await asyncio.gather(*map(answer_or_none, asking))
+        pending = [self.links.ask(link, message) for link in self.links.ordered()]
+        await asyncio.gather(*map(answer_or_none, pending))
 
 
-async def answer_or_none(asking: Any) -> Any:
+async def answer_or_none(pending: Any) -> Any:
     """Wait for an answer; a failure was logged where it arose."""
     try:
-        return await asking
+        return await pending
     except PollenwalkError:
         return None
--- a/pollenwalk/process/keeper_links.py
+++ b/pollenwalk/process/keeper_links.py
@@ -19,7 +19,7 @@
 # A round trip between regions, two syncs and a lost packet.
 ASK_TIMEOUT_MS = 700.0
 # A lost keeper is probed so often; a process is back within a second.
-PROBE_EVERY_MS = 200.0
+PROBE_INTERVAL_MS = 200.0
 # Zones by their distance.
 SAME_ZONE = 0
 SAME_REGION = 1
@@ -77,21 +77,21 @@
 
     def link(self, member: Member) -> KeeperLink:
         """Give the link to a keeper, a new one where its address is new."""
-        known = self.by_name.get(member.name)
-        if known is None or known.member.address != member.address:
+        link = self.by_name.get(member.name)
+        if link is None or link.member.address != member.address:
             peer = Peer(member.address, self.network, self.clock, self.tasks)
             peer.drops_when_silent = True
-            known = KeeperLink(member, peer, self.distance(member.zone))
-            self.by_name[member.name] = known
-        known.member = member
-        return known
+            link = KeeperLink(member, peer, self.distance(member.zone))
+            self.by_name[member.name] = link
+        link.member = member
+        return link
 
     def distance(self, zone: str) -> int:
         """Rank a zone: this one, this region, another region."""
         if zone == self.zone:
             return SAME_ZONE
-        same = self.regions.get(zone) == self.regions.get(self.zone)
-        return SAME_REGION if same else OTHER_REGION
+        same_region = self.regions.get(zone) == self.regions.get(self.zone)
+        return SAME_REGION if same_region else OTHER_REGION
 
     @property
     def majority(self) -> int:
@@ -151,7 +151,7 @@
                 await link.peer.ask(Settlements([]), ASK_TIMEOUT_MS)
             except PollenwalkError:
                 # Already logged as lost.
-                await self.clock.sleep_ms(PROBE_EVERY_MS)
+                await self.clock.sleep_ms(PROBE_INTERVAL_MS)
                 continue
             since_ms = link.lost_since_ms or 0
             link.lost_since_ms = None
--- a/pollenwalk/process/keeper_state.py
+++ b/pollenwalk/process/keeper_state.py
@@ -21,7 +21,7 @@
 )
 
 # A tenth of the smallest disk of the deployments (350 MB) may be over.
-COMPACT_BYTES = 32_000_000
+COMPACTION_THRESHOLD_BYTES = 32_000_000
 
 
 class KeeperState:
@@ -110,16 +110,16 @@
                 )
 
     def underreplicated_turns(
-        self, alive: Collection[str], required_copies: int
+        self, live: Collection[str], required_copies: int
     ) -> Iterator[bytes]:
         """Encode the turns of which fewer copies are left than needed.
 
         Args:
-            alive: the keepers whose copies count.
+            live: the keepers whose copies count.
             required_copies: that are needed.
         """
         for record in list(self.turns.records.values()):
-            if len(set(record.replicas).intersection(alive)) < required_copies:
+            if len(set(record.replicas).intersection(live)) < required_copies:
                 yield encode_datagram(record)
 
     async def add_records(self, records: Iterable[bytes]) -> int:
@@ -144,13 +144,13 @@
 
     async def compact(self) -> None:
         """Write all that is held anew once the disk holds much that is over."""
-        if self.log.bytes_since_compaction < COMPACT_BYTES:
+        if self.log.bytes_since_compaction < COMPACTION_THRESHOLD_BYTES:
             return
         await self.log.start_compaction()
-        everything = (*self.account_records(), *self.underreplicated_turns((), 1))
-        await asyncio.gather(*map(self.log.append, everything))
+        live_records = (*self.account_records(), *self.underreplicated_turns((), 1))
+        await asyncio.gather(*map(self.log.append, live_records))
         await self.log.finish_compaction()
-        logger.info('compacted', records=len(everything))
+        logger.info('compacted', records=len(live_records))
 
     def expire(self) -> None:
         """Forget what is over."""
--- a/pollenwalk/process/prefix_watcher.py
+++ b/pollenwalk/process/prefix_watcher.py
@@ -70,8 +70,8 @@
         self.prefix = prefix
         self.handlers = handlers
         self.wait_ms = int(wait_ms)
-        self.revision: int | None = None
-        self.checked = 0
+        self.next_revision: int | None = None
+        self.answered_revision = 0
         self.known_keys: set[str] = set()
 
     async def run(self) -> None:
@@ -101,7 +101,7 @@
         if self.handlers.relay is None:
             return
         listing = await self.handlers.relay(self.prefix)
-        if listing is not None and listing.revision >= self.checked:
+        if listing is not None and listing.revision >= self.answered_revision:
             self.notify(self.apply_listing(listing))
 
     async def read(self) -> list[StoredObject]:
@@ -110,28 +110,28 @@
         Raises:
             StoreUnavailable: the store gave no answer.
         """
-        if self.revision is None:
+        if self.next_revision is None:
             return self.apply_listing(await self.store.scan(self.prefix))
         try:
             changes = await self.store.watch(
                 self.prefix,
-                self.revision,
+                self.next_revision,
                 self.wait_ms,
             )
         except StoreHistoryGone:
-            self.revision = None
+            self.next_revision = None
             return await self.read()
-        self.checked = max(self.checked, changes.revision)
+        self.answered_revision = max(self.answered_revision, changes.revision)
         if changes.objects:
-            self.revision = max(self.revision, changes.revision)
+            self.next_revision = max(self.next_revision, changes.revision)
         for stored in changes.objects:
-            self.note_object(stored)
+            self.track_key(stored)
         return changes.objects
 
     def apply_listing(self, listing: Changes) -> list[StoredObject]:
         """Add a deletion for each object that is no longer listed."""
-        self.revision = listing.revision
-        self.checked = max(self.checked, listing.revision)
+        self.next_revision = listing.revision
+        self.answered_revision = max(self.answered_revision, listing.revision)
         listed = {stored.key for stored in listing.objects}
         gone = [
             StoredObject(key, b'', listing.revision)
@@ -140,7 +140,7 @@
         self.known_keys = listed
         return [*listing.objects, *gone]
 
-    def note_object(self, stored: StoredObject) -> None:
+    def track_key(self, stored: StoredObject) -> None:
         """Remember whether an object is there."""
         if stored.body:
             self.known_keys.add(stored.key)
--- a/pollenwalk/process/record_log.py
+++ b/pollenwalk/process/record_log.py
@@ -14,10 +14,10 @@
 from pathlib import Path
 from typing import Any, NamedTuple, Protocol
 
-FRAME = struct.Struct('<II')
-PREFIX = 'segment-'
-SUFFIX = '.log'
-COMPLETE_MARK = 'complete'
+FRAME_HEADER = struct.Struct('<II')
+SEGMENT_PREFIX = 'segment-'
+SEGMENT_SUFFIX = '.log'
+COMPLETE_MARKER = 'complete'
 
 
 class RecordDisk(Protocol):
@@ -57,7 +57,7 @@
         """Stop writing."""
 
 
-class Waiting(NamedTuple):
+class PendingRecord(NamedTuple):
     """A framed record and who waits for it."""
 
     frame: bytes
@@ -77,26 +77,31 @@
         self.folder = folder
         self.segment = 0
         self.bytes_since_compaction = 0
-        self.handle = -1
+        self.descriptor = -1
         self.complete = False
-        self.waiting: list[Waiting] = []
+        self.pending: list[PendingRecord] = []
         self.wake = asyncio.Event()
-        self.disk = ThreadPoolExecutor(1, thread_name_prefix='disk')
+        self.executor = ThreadPoolExecutor(1, thread_name_prefix='disk')
 
     def segments(self) -> list[int]:
         """List the numbers of the segments on disk, the oldest first."""
-        names = (path.name for path in self.folder.glob(f'{PREFIX}*{SUFFIX}'))
-        numbers = (name.removeprefix(PREFIX).removesuffix(SUFFIX) for name in names)
+        names = (
+            path.name for path in self.folder.glob(f'{SEGMENT_PREFIX}*{SEGMENT_SUFFIX}')
+        )
+        numbers = (
+            name.removeprefix(SEGMENT_PREFIX).removesuffix(SEGMENT_SUFFIX)
+            for name in names
+        )
         return sorted(int(number) for number in numbers if number.isdecimal())
 
     def path(self, segment: int) -> Path:
         """Give the path of a segment."""
-        return self.folder / f'{PREFIX}{segment:08d}{SUFFIX}'
+        return self.folder / f'{SEGMENT_PREFIX}{segment:08d}{SEGMENT_SUFFIX}'
 
     def open(self) -> Iterator[bytes]:
         """Give each record on disk, the oldest first; begin a new segment."""
         self.folder.mkdir(parents=True, exist_ok=True)
-        self.complete = COMPLETE_MARK in os.listdir(self.folder)
+        self.complete = COMPLETE_MARKER in os.listdir(self.folder)
         for segment in self.segments():
             payload = self.path(segment).read_bytes()
             self.bytes_since_compaction += len(payload)
@@ -106,44 +111,46 @@
     def mark_complete(self) -> None:
         """Remember across restarts that the disk is complete."""
         self.complete = True
-        write_synced(self.folder / COMPLETE_MARK, b'1')
+        write_synced(self.folder / COMPLETE_MARKER, b'1')
 
     def begin_segment(self) -> None:
         """Create a segment so that its name survives a power loss."""
-        if self.handle >= 0:
-            os.close(self.handle)
+        if self.descriptor >= 0:
+            os.close(self.descriptor)
         self.segment = max(self.segments(), default=0) + 1
         flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
-        self.handle = os.open(self.path(self.segment), flags)
-        os.fsync(self.handle)
-        sync_folder(self.folder)
+        self.descriptor = os.open(self.path(self.segment), flags)
+        os.fsync(self.descriptor)
+        sync_directory(self.folder)
 
     async def start_compaction(self) -> None:
         """Begin a segment behind what is being written."""
-        await self.on_disk(self.begin_segment)
+        await self.run_in_executor(self.begin_segment)
         self.bytes_since_compaction = 0
 
     async def finish_compaction(self) -> None:
         """Delete all segments but the last."""
-        await self.on_disk(self.remove_older)
+        await self.run_in_executor(self.delete_older_segments)
 
-    def remove_older(self) -> None:
+    def delete_older_segments(self) -> None:
         """Delete all segments but the one that is written."""
         for segment in self.segments():
             if segment < self.segment:
                 self.path(segment).unlink()
-        sync_folder(self.folder)
+        sync_directory(self.folder)
 
-    async def on_disk(self, work: Callable[..., None], *parts: Any) -> None:
+    async def run_in_executor(
+        self, function: Callable[..., None], *arguments: Any
+    ) -> None:
         """Run something in the thread that alone touches the disk."""
         loop = asyncio.get_running_loop()
-        await loop.run_in_executor(self.disk, work, *parts)
+        await loop.run_in_executor(self.executor, function, *arguments)
 
     async def append(self, record: bytes) -> None:
         """Write a record and wait until it is synced."""
         synced: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        frame = FRAME.pack(len(record), zlib.crc32(record)) + record
-        self.waiting.append(Waiting(frame, synced))
+        frame = FRAME_HEADER.pack(len(record), zlib.crc32(record)) + record
+        self.pending.append(PendingRecord(frame, synced))
         self.wake.set()
         await synced
 
@@ -152,9 +159,9 @@
         while True:
             await self.wake.wait()
             self.wake.clear()
-            batch = self.waiting
-            self.waiting = []
-            await self.on_disk(self.write, b''.join(one.frame for one in batch))
+            batch = self.pending
+            self.pending = []
+            await self.run_in_executor(self.write, b''.join(one.frame for one in batch))
             for one in batch:
                 if not one.synced.done():
                     one.synced.set_result(None)
@@ -163,24 +170,24 @@
         """Write bytes and sync them."""
         view = memoryview(payload)
         while view:
-            view = view[os.write(self.handle, view) :]
-        os.fdatasync(self.handle)
+            view = view[os.write(self.descriptor, view) :]
+        os.fdatasync(self.descriptor)
         self.bytes_since_compaction += len(payload)
 
     def close(self) -> None:
         """Close the file."""
-        self.disk.shutdown(wait=False)
-        if self.handle >= 0:
-            os.close(self.handle)
-            self.handle = -1
+        self.executor.shutdown(wait=False)
+        if self.descriptor >= 0:
+            os.close(self.descriptor)
+            self.descriptor = -1
 
 
 def read_frames(payload: bytes) -> Iterator[bytes]:
     """Give the records of a segment, up to the first that is torn."""
     position = 0
-    while position + FRAME.size <= len(payload):
-        length, checksum = FRAME.unpack_from(payload, position)
-        position += FRAME.size
+    while position + FRAME_HEADER.size <= len(payload):
+        length, checksum = FRAME_HEADER.unpack_from(payload, position)
+        position += FRAME_HEADER.size
         record = payload[position : position + length]
         if len(record) < length or zlib.crc32(record) != checksum or not length:
             return
@@ -194,13 +201,13 @@
         target.write(payload)
         target.flush()
         os.fsync(target.fileno())
-    sync_folder(path.parent)
+    sync_directory(path.parent)
 
 
-def sync_folder(folder: Path) -> None:
+def sync_directory(folder: Path) -> None:
     """Make created and removed names survive a power loss."""
-    handle = os.open(folder, os.O_RDONLY)
+    descriptor = os.open(folder, os.O_RDONLY)
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
--- a/pollenwalk/process/recorder.py
+++ b/pollenwalk/process/recorder.py
@@ -19,7 +19,7 @@
 from pollenwalk.program.program import ProgramTable
 from pollenwalk.program.records import Record
 
-SETTLE_PAUSE_MS = 200
+SETTLE_INTERVAL_MS = 200
 SETTLE_TIMEOUT_MS = 1000
 RETRY_AFTER_MS = 1000
 
@@ -41,7 +41,7 @@
         self.table = table
         self.clock = clock
         self.tasks = tasks
-        self.settled: dict[str, list[str]] = {}
+        self.settled_calls: dict[str, list[str]] = {}
         self.on_committed: Callable[[list[Record], int], None] = (
             lambda records, segment: None
         )
@@ -107,14 +107,14 @@
 
     def settle(self, address: str, call: str) -> None:
         """Let a sidecar drop a call whose result is durable."""
-        self.settled.setdefault(address, []).append(call)
+        self.settled_calls.setdefault(address, []).append(call)
 
     async def send_settlements(self, peers: PeerSource) -> None:
         """Tell the sidecars in batches, for as long as the home lives."""
         while True:
-            await self.clock.sleep_ms(SETTLE_PAUSE_MS)
-            batches = self.settled
-            self.settled = {}
+            await self.clock.sleep_ms(SETTLE_INTERVAL_MS)
+            batches = self.settled_calls
+            self.settled_calls = {}
             for address, calls in batches.items():
                 try:
                     await peers(address).ask(Settle(calls), SETTLE_TIMEOUT_MS)
--- a/pollenwalk/process/retirement.py
+++ b/pollenwalk/process/retirement.py
@@ -29,8 +29,8 @@
 
 # The shortest time for which emptying is asked is several seconds; a watch
 # that has stalled must be noticed well before.
-REQUEST_WAIT_MS = 2500
-TRY_AGAIN_MS = 200.0
+WATCH_WAIT_MS = 2500
+RETRY_INTERVAL_MS = 200.0
 
 
 class StatusStore(ObjectStore, Protocol):
@@ -48,7 +48,7 @@
         self.keeper = keeper
         self.store = store
         self.key = f'{RETIREMENTS_PREFIX}{keeper.settings.name}'
-        self.begun = False
+        self.started = False
 
     async def watch_requests(self) -> None:
         """Follow the requests for as long as the process lives."""
@@ -58,19 +58,19 @@
             self.keeper.clock,
             RETIREMENTS_PREFIX,
             handlers,
-            wait_ms=REQUEST_WAIT_MS,
+            wait_ms=WATCH_WAIT_MS,
         ).run()
 
     def on_request(self, stored: StoredObject) -> None:
         """Take a request; the first one for this keeper begins the work."""
-        if stored.key != self.key or not stored.body or self.begun:
+        if stored.key != self.key or not stored.body or self.started:
             return
         try:
             within_ms = decode_retirement(stored.key, stored.body)
         except MalformedObject as error:
             logger.error('retirement_unreadable', reason=error.message)
             return
-        self.begun = True
+        self.started = True
         logger.info('retiring', within_ms=within_ms, revision=stored.version)
         self.keeper.tasks.spawn(self.run(), 'retire')
 
@@ -80,7 +80,7 @@
         keeper.own_member = keeper.own_member._replace(retiring=True)
         await self.report(False)
         while not await self.replicate_elsewhere():
-            await keeper.clock.sleep_ms(TRY_AGAIN_MS)
+            await keeper.clock.sleep_ms(RETRY_INTERVAL_MS)
         keeper.retired = True
         await keeper.remove(keeper.own_member)
         await self.report(True)
@@ -114,25 +114,25 @@
 
     async def push_turns(self, member: Member, others: list[Member]) -> None:
         """Give another keeper the turns that it is to hold and lacks."""
-        held = (
+        updated = (
             record._replace(replicas=self.choose_replicas(record, others))
             for record in list(self.keeper.state.turns.records.values())
         )
-        records = {one.turn: one for one in held if member.name in one.replicas}
+        records = {one.turn: one for one in updated if member.name in one.replicas}
         link = self.keeper.links.link(member)
         missing: Missing = await self.keeper.links.ask(
             link,
             FindMissing(list(records)),
         )
-        lacking = (encode_datagram(records[turn]) for turn in missing.turns)
-        await self.push(member, lacking)
+        missing_records = (encode_datagram(records[turn]) for turn in missing.turns)
+        await self.push(member, missing_records)
 
     def choose_replicas(self, record: TurnRecord, others: list[Member]) -> list[str]:
         """Choose the keepers of a turn from now on: its replicas, then the nearest."""
         names = [one.name for one in others]
-        staying = [name for name in names if name in record.replicas]
-        fresh = [name for name in names if name not in record.replicas]
-        return [*staying, *fresh][: self.keeper.required_copies]
+        kept = [name for name in names if name in record.replicas]
+        added = [name for name in names if name not in record.replicas]
+        return [*kept, *added][: self.keeper.required_copies]
 
     async def push(self, member: Member, records: Iterable[bytes]) -> None:
         """Give another keeper records, in batches."""
--- a/pollenwalk/process/retry_advisor.py
+++ b/pollenwalk/process/retry_advisor.py
@@ -11,11 +11,11 @@
 
 # A process restarts within two seconds, and balancers look twice, a second
 # apart; callers wait for a third of their time at the most, a second or so.
-LATER_MS = 900
+REPEATED_RETRY_AFTER_MS = 900
 # A caller that was told to come back has done so by then.
-REMEMBERED_MS = 3000.0
+REFUSAL_MEMORY_MS = 3000.0
 # Programs remembered; more than a gateway is asked for in that time.
-MOST_REMEMBERED = 2000
+MAX_REMEMBERED_PROGRAMS = 2000
 
 
 class RetryAdvisor:
@@ -24,26 +24,26 @@
     def __init__(self, clock: Clock) -> None:
         """Start with none."""
         self.clock = clock
-        self.refused_ms: dict[str, float] = {}
+        self.refused_at_ms: dict[str, float] = {}
 
     def advise(self, refusal: Refusal, program: str) -> Refusal:
         """Give the refusal with the time at which to come back."""
         if refusal.code != RefusalCode.KEEPERS_UNAVAILABLE:
             return refusal
-        if not self.note(program):
+        if not self.record_refusal(program):
             return refusal
         return Refusal(
             refusal.code,
             refusal.message,
             refusal.outcome,
-            retry_after_ms=LATER_MS,
+            retry_after_ms=REPEATED_RETRY_AFTER_MS,
         )
 
-    def note(self, program: str) -> bool:
+    def record_refusal(self, program: str) -> bool:
         """Remember a program; tell whether it was refused a moment ago."""
         now_ms = self.clock.now_ms()
-        before_ms = self.refused_ms.pop(program, None)
-        self.refused_ms[program] = now_ms
-        if len(self.refused_ms) > MOST_REMEMBERED:
-            self.refused_ms.pop(next(iter(self.refused_ms)))
-        return before_ms is not None and now_ms - before_ms < REMEMBERED_MS
+        previous_ms = self.refused_at_ms.pop(program, None)
+        self.refused_at_ms[program] = now_ms
+        if len(self.refused_at_ms) > MAX_REMEMBERED_PROGRAMS:
+            self.refused_at_ms.pop(next(iter(self.refused_at_ms)))
+        return previous_ms is not None and now_ms - previous_ms < REFUSAL_MEMORY_MS
--- a/test/process/test_gateway.py
+++ b/test/process/test_gateway.py
@@ -63,13 +63,13 @@
     async def test_any_watch_that_fails_makes_entries_doubtful(self) -> None:
         for kind in (CONFIGURATION_PREFIX, HOSTS_PREFIX):
             gateway = await self.gateway(kind)
-            self.assertTrue(gateway.host_table.entries_may_have_lapsed(), kind)
+            self.assertTrue(gateway.host_table.registrations_may_have_lapsed(), kind)
             await gateway.stop()
 
     @virtual
     async def test_entries_go_at_once_while_all_watches_work(self) -> None:
         gateway = await self.gateway()
-        self.assertFalse(gateway.host_table.entries_may_have_lapsed())
+        self.assertFalse(gateway.host_table.registrations_may_have_lapsed())
         await gateway.stop()
 
     @virtual
--- a/test/process/test_record_log.py
+++ b/test/process/test_record_log.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from pollenwalk.process.record_log import FRAME, RecordLog, read_frames
+from pollenwalk.process.record_log import FRAME_HEADER, RecordLog, read_frames
 from test.helper import on_loop
 
 
@@ -48,7 +48,7 @@
         log.close()
         path = log.path(log.segment)
         whole = path.read_bytes()
-        first = FRAME.size + len(b'one')
+        first = FRAME_HEADER.size + len(b'one')
         for cut, _ in enumerate(whole):
             expected = [b'one'] if cut >= first else []
             self.assertEqual(expected, list(read_frames(whole[:cut])))
@@ -58,7 +58,7 @@
         log = await self.write(b'one')
         log.close()
         with log.path(log.segment).open('ab') as target:
-            target.write(FRAME.pack(100, 1) + b'torn')
+            target.write(FRAME_HEADER.pack(100, 1) + b'torn')
         (await self.write(b'two')).close()
         self.assertEqual([b'one', b'two'], self.read())
 
