--- a/pollenwalk/process/call_placer.py
+++ b/pollenwalk/process/call_placer.py
@@ -1,4 +1,4 @@
-"""Choosing an upstream host with what this gateway believes of all of them."""
+"""Chooses an upstream host for a call from this gateway's estimates."""
 
 from pollenwalk.policy.host_choice import (
     CallCost,
@@ -11,12 +11,16 @@
 from pollenwalk.process.host_table import SMOOTHING, HostState, HostTable
 from pollenwalk.request.call_state import Call
 
-# Expected time of a call on an idle host before any was seen.
+# Expected run time of a call on an idle host until one has been measured.
 DEFAULT_RUN_MS = 150.0
 
 
 class CallPlacer:
-    """Applies the policy to the hosts of an upstream."""
+    """Places calls on the hosts of their upstreams by a host selection policy.
+
+    Attributes:
+        run_times: the moving average of the run time in ms, by route name.
+    """
 
     def __init__(
         self,
@@ -26,7 +30,15 @@
         zone: str,
         regions: dict[str, str],
     ) -> None:
-        """Place for a gateway in `zone`."""
+        """Create a placer for a gateway.
+
+        Args:
+            clock: the clock of the gateway.
+            host_table: the known upstream hosts.
+            choice: the policy that picks one of the hosts.
+            zone: availability zone of the gateway.
+            regions: the region of each zone.
+        """
         self.clock = clock
         self.host_table = host_table
         self.choice = choice
@@ -37,7 +49,13 @@
     def choose_host(
         self, call: Call, cost: CallCost, avoid: set[str]
     ) -> HostState | None:
-        """Pick a host that has not been tried; None where there is none."""
+        """Pick a host for a call; None if there is none.
+
+        Args:
+            call: the call; its upstream determines the hosts.
+            cost: the expected cost of the call.
+            avoid: ids of hosts that must not be picked.
+        """
         now_ms = self.clock.now_ms()
         states = {
             state.registration.id: state
@@ -49,7 +67,11 @@
         return None if chosen is None else states[chosen.host]
 
     def min_wait_ms(self, call: Call, cost: CallCost) -> float:
-        """Estimate the wait at the best host; 0 where there is none."""
+        """Estimate the shortest wait at any host that is not suspected, in ms.
+
+        The wait includes the network delay beyond that of the nearest host. It
+        is 0 if there is no such host.
+        """
         now_ms = self.clock.now_ms()
         states = self.host_table.available_hosts(call.upstream)
         candidates = (self.candidate(state, now_ms) for state in states)
@@ -61,7 +83,7 @@
         return min(waits, default=0)
 
     def candidate(self, state: HostState, now_ms: float) -> Candidate:
-        """Describe a host to the policy."""
+        """Return a host in the form in which the policy compares hosts."""
         registration = state.registration
         region = self.regions.get(self.zone)
         return Candidate(
@@ -76,15 +98,21 @@
         )
 
     def record_rejection(self, state: HostState, _reason: str) -> None:
-        """Pass over a host that can't be reached or takes nothing."""
+        """Suspect a host that can't be reached or rejects calls."""
         state.record_failure(self.clock.now_ms())
 
     def expected_run_ms(self, call: Call) -> float:
-        """Give the expected time of a call once it runs."""
+        """Return the expected run time of a call on a host with a free slot."""
         return self.run_times.get(call.route.name, DEFAULT_RUN_MS)
 
     def record_run_time(self, call: Call, run_ms: float) -> None:
-        """Learn from a call that was answered whole and did not wait."""
+        """Update the average run time of a route.
+
+        Args:
+            call: a call that was answered completely and did not wait for a
+                slot.
+            run_ms: its run time.
+        """
         mean_ms = self.expected_run_ms(call)
         updated_ms = mean_ms + (run_ms - mean_ms) * SMOOTHING
         self.run_times[call.route.name] = updated_ms
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway: takes callers' requests and has them run by upstream hosts."""
+"""The gateway: accepts callers' requests and forwards them to upstream hosts."""
 
 import asyncio
 import random
@@ -32,35 +32,39 @@
 from pollenwalk.version.active_configuration import ActiveConfiguration
 from pollenwalk.version.routes import Route, RoutingConfiguration
 
-# Retry-After before the configuration is known: a start takes about a second.
+# Retry-After until the first configuration is read: a start takes about 1 s.
 STARTUP_RETRY_AFTER_MS = 500
-# Read of a body before the configuration is known; the request is refused
-# all the same, and an early answer must not meet a body that still comes.
+# Largest request body that is read before a configuration is known. The
+# request is refused in any case, but only after its body has been read, so
+# that the response does not cross a body that is still being sent.
 STARTUP_MAX_BODY_BYTES = 4_194_304
-# Watches of the configuration last this share of the time within which it has
-# to be in force, so that one that has heard nothing is made again early enough.
+# A watch of the configuration lasts at most this share of the time within which
+# a change must be in force. A stalled watch is thus replaced early enough.
 CONFIGURATION_WATCH_SHARE = 0.5
-# Hosts that leave must be noticed before they stop; the rest of the time is
-# for a slow store.
+# A watch of the hosts or keepers lasts at most this share of the leave notice:
+# a leaving host must be noticed before it stops, and the rest of the notice is
+# reserved for a slow store.
 MEMBERSHIP_WATCH_SHARE = 0.6
-# A gateway that reaches no majority of the keepers for so long lets callers
-# go to others; shorter than a balancer's second look.
+# A gateway that has reached no majority of the keepers for this long reports
+# that it is not ready, so that callers are sent to other gateways. Shorter than
+# the time until a load balancer's second check.
 MAX_WITHOUT_MAJORITY_MS = 500.0
-# One more than the greatest checksum.
+# Number of different CRC-32 checksums.
 CHECKSUM_VALUES = 4_294_967_296
 
 
 class GatewaySettings(NamedTuple):
-    """What a gateway is told at its start.
+    """The settings that a gateway reads at its start.
 
     Attributes:
-        name: its own, the same after a restart.
-        zone: its availability zone.
+        name: name of the gateway, the same after a restart.
+        zone: availability zone of the gateway.
         regions: the region of each zone.
-        tolerated_losses: keepers whose loss at once must lose nothing.
-        change_delay_ms: the longest until a configuration is in force.
-        leave_notice_ms: how long a host serves after it has said that it
-            leaves.
+        tolerated_losses: how many keepers may be lost at the same time without
+            loss of data.
+        change_delay_ms: longest time until a changed configuration is in force.
+        leave_notice_ms: how long a host still serves after it has announced
+            that it leaves.
     """
 
     name: str
@@ -82,7 +86,7 @@
         clock: Clock,
         rng: random.Random,
     ) -> None:
-        """Prepare; nothing is known yet."""
+        """Create a gateway that has not read the store yet."""
         self.settings = settings
         self.store = store
         self.clock = clock
@@ -118,7 +122,7 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether new callers may come."""
+        """Return whether a load balancer may send new callers."""
         loaded = (
             self.active_configuration.current is not None and self.host_table.loaded
         )
@@ -127,12 +131,12 @@
         return loaded and majority_ok and not self.stopping
 
     def max_body_bytes(self) -> int:
-        """Give the largest body that a caller may send now."""
+        """Return the largest request body that is accepted now."""
         current = self.active_configuration.current
         return current.limits.max_body_bytes if current else STARTUP_MAX_BODY_BYTES
 
     async def start(self) -> None:
-        """Follow the store."""
+        """Start to watch the configuration, the hosts and the keepers."""
         relay = self.keepers.read_prefix
         configuration = WatchHandlers(
             self.active_configuration.apply,
@@ -164,7 +168,13 @@
         handlers: WatchHandlers,
         wait_ms: float,
     ) -> None:
-        """Follow one kind of objects for as long as the process lives."""
+        """Watch the objects below a prefix until the gateway stops.
+
+        Args:
+            prefix: the prefix in the store.
+            handlers: receive the objects and the failures.
+            wait_ms: longest duration of one watch.
+        """
         watcher = PrefixWatcher(
             self.store,
             self.clock,
@@ -175,19 +185,19 @@
         self.tasks.spawn(watcher.run(), f'follow {prefix}')
 
     def on_hosts_read(self) -> None:
-        """Note that the list of hosts is fresh."""
+        """Mark the host table as loaded and close connections to removed hosts."""
         self.host_table.loaded = True
         self.host_table.store_answered()
         self.pool.drop(set(self.host_table.states))
 
     def on_store_unavailable(self, what: str, error: StoreUnavailable) -> None:
-        """Note that the store gave no answer, so that lists may be stale."""
+        """Record that the store did not answer, so that lists may be stale."""
         self.host_table.store_failed()
         self.metrics.count_store_failure(what)
         logger.warning('store_unavailable', what=what, reason=error.message)
 
     def refresh_metrics(self) -> None:
-        """Set the gauges."""
+        """Update the gauges."""
         current = self.active_configuration.current
         links = self.links.ordered()
         self.metrics.version.set({}, current.version if current else 0)
@@ -197,7 +207,7 @@
         self.metrics.keepers_lost.set({}, lost)
 
     async def stop(self) -> None:
-        """End all work."""
+        """Cancel all tasks and close the connections to the hosts."""
         await self.tasks.cancel()
         self.pool.close()
 
@@ -205,8 +215,8 @@
         """Answer one request.
 
         Raises:
-            Refusal: it gets no answer of an upstream host.
-            BrokenAnswer: its stream broke off.
+            Refusal: no upstream host answered the request.
+            BrokenAnswer: the stream of the answer broke off.
         """
         call = self.prepare_call(request)
         outcome = 'refused'
@@ -228,7 +238,11 @@
             )
 
     async def run_until_deadline(self, call: Call, reply: Reply) -> None:
-        """Run a call until the caller or the route stops waiting."""
+        """Run a call until its deadline.
+
+        Raises:
+            Refusal: the deadline has passed, or the call was refused.
+        """
         remaining_ms = call.remaining_ms(self.clock.now_ms())
         try:
             async with self.clock.timeout_ms(remaining_ms):
@@ -237,10 +251,11 @@
             raise deadline_passed() from error
 
     def prepare_call(self, request: Request) -> Call:
-        """Find the route and the upstream of a request.
+        """Choose the route and the upstream of a request.
 
         Raises:
-            Refusal: there is none, or the request has no id.
+            Refusal: there is no configuration yet, no route matches, or the
+                request has no id.
         """
         current = self.active_configuration.current
         if current is None:
@@ -260,14 +275,18 @@
         return make_call(current, route, request)
 
     async def run(self, call: Call, reply: Reply) -> None:
-        """Run a call the way its route asks for."""
+        """Run a call as a stream or as one request, depending on its route."""
         if call.route.is_streaming:
             await run_stream(self.forwarding_context, call, self.make_turn(call), reply)
         else:
             await run_unary(self.forwarding_context, call, reply)
 
     def make_turn(self, call: Call) -> Turn:
-        """Tell what a stream means to its program."""
+        """Return the turn of a streaming call.
+
+        It is a turn of a program if the route keeps the history or the request
+        has a token budget.
+        """
         keeps_history = call.route.keeps_history
         if keeps_history or call.request.metadata.budget is not None:
             return ProgramTurn(self.keepers, call, self.metrics)
@@ -275,12 +294,12 @@
 
 
 def deadline_passed() -> Refusal:
-    """Refuse a call whose time has run out; it may have run."""
-    return Refusal(RefusalCode.DEADLINE, 'the time is over', Outcome.UNKNOWN)
+    """Return the refusal of a call after its deadline; the call may have run."""
+    return Refusal(RefusalCode.DEADLINE, 'the deadline has passed', Outcome.UNKNOWN)
 
 
 def make_call(current: RoutingConfiguration, route: Route, request: Request) -> Call:
-    """Choose the upstream of a call and the end of its time."""
+    """Create a call with its upstream and its deadline."""
     metadata = request.metadata
     return Call(
         request=request,
@@ -293,7 +312,13 @@
 
 
 def pick_upstream(route: Route, key: str) -> str:
-    """Pick an upstream by the weights, the same one for all of a program."""
+    """Pick one of a route's upstreams by their weights.
+
+    Args:
+        route: route with the upstreams.
+        key: id of the program, or of a request without one. The same key gets
+            the same upstream while the weights stay the same.
+    """
     total_weight = sum(share.weight for share in route.shares)
     position = zlib.crc32(key.encode('latin-1')) / CHECKSUM_VALUES * total_weight
     for share in route.shares:
--- a/pollenwalk/process/gateway_daemon.py
+++ b/pollenwalk/process/gateway_daemon.py
@@ -1,4 +1,4 @@
-"""Runs one gateway as a process of its own, until SIGTERM."""
+"""Runs one gateway as a process until SIGTERM."""
 
 import asyncio
 import random
@@ -26,22 +26,24 @@
 from pollenwalk.process.settings import Settings, read_settings
 from pollenwalk.process.signals import stop_on_signals
 
-# The balancer asks once a second and takes a host out after two misses.
+# The load balancer checks readiness once a second and removes a gateway after
+# two failed checks.
 BALANCER_NOTICE_MS = 2500.0
-# Left of the grace period for closing what is still open.
+# Part of the grace period that is reserved for closing the servers.
 CLOSE_RESERVE_MS = 700.0
 DRAIN_CHECK_INTERVAL_MS = 50.0
 OK = HTTPStatus.OK
 NOT_READY = HTTPStatus.SERVICE_UNAVAILABLE
-# Longer than any configured idle time, so that a caller never meets the end
-# of a connection that it may still use.
+# Longer than any configured idle timeout, so that the gateway never closes a
+# connection that a caller may still use.
 CALLER_KEEP_ALIVE_S = 120
-# Settings may change without a signal.
+# Interval of checks whether the settings file has changed, as it may be changed
+# without a SIGHUP.
 SETTINGS_CHECK_INTERVAL_MS = 1000.0
 
 
 def run_gateway(settings: Settings, path: Path) -> None:
-    """Run a gateway until it is told to stop.
+    """Run a gateway until SIGTERM.
 
     Raises:
         UserError: an address can't be bound.
@@ -54,10 +56,15 @@
 
 
 class GatewayProcess:
-    """The servers and signals around a gateway."""
+    """A gateway with its HTTP servers, signals and settings file."""
 
     def __init__(self, settings: Settings, path: Path) -> None:
-        """Prepare from checked settings, read from `path`."""
+        """Create the gateway and its servers from validated settings.
+
+        Args:
+            settings: the settings as read from `path`.
+            path: the settings file, which is read again when it changes.
+        """
         self.settings = settings
         self.path = path
         self.clock = LoopClock()
@@ -99,7 +106,7 @@
         )
 
     def readiness_app(self) -> Starlette:
-        """Make the application that the balancer asks."""
+        """Create the application that answers the load balancer's checks."""
 
         async def answer(_: Request) -> Response:  # noqa: WPS430
             ready = self.gateway.ready
@@ -108,12 +115,12 @@
         return Starlette(routes=[Route(READY_PATH, answer)])
 
     def refresh_metrics(self) -> None:
-        """Set the gauges."""
+        """Update the gauges."""
         self.gateway.refresh_metrics()
         self.gateway.metrics.in_progress.set({}, self.app.in_progress)
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then finish what has begun."""
+        """Serve until SIGTERM, then finish the requests in progress."""
         own = self.settings.of('gateway')
         stopped = stop_on_signals(self.reload)
         logger.info('start', role='gateway', name=own['name'], zone=own['zone'])
@@ -125,11 +132,15 @@
         await self.drain(own['grace_s'] * MS_PER_SECOND)
 
     def servers(self) -> tuple[HttpServer, ...]:
-        """Give the servers, the callers' first."""
+        """Return all servers, the one for callers first."""
         return self.caller_server, self.readiness_server, self.metrics_page
 
     async def drain(self, grace_ms: float) -> None:
-        """Take no new callers and finish the requests in progress."""
+        """Finish the requests in progress within the grace period, then stop.
+
+        The servers accept requests until the load balancer has had time to
+        notice that the gateway is not ready.
+        """
         started_ms = self.clock.now_ms()
         logger.info('stopping', in_progress=self.app.in_progress)
         self.gateway.stopping = True
@@ -145,7 +156,7 @@
         logger.info('stop', role='gateway', unfinished=self.app.in_progress)
 
     async def watch_settings(self) -> None:
-        """Reload the settings when their file has changed."""
+        """Reload the settings whenever their file has changed."""
         current = self.path.read_bytes()
         while True:
             await self.clock.sleep_ms(SETTINGS_CHECK_INTERVAL_MS)
@@ -155,7 +166,7 @@
                 self.reload()
 
     def reload(self) -> None:
-        """Read the settings again; bad ones leave the old in force."""
+        """Read the settings again; invalid ones are ignored."""
         try:
             settings = read_settings(self.path, 'gateway')
         except UserError as error:
--- a/pollenwalk/process/gateway_metrics.py
+++ b/pollenwalk/process/gateway_metrics.py
@@ -1,4 +1,4 @@
-"""What a gateway counts and times."""
+"""Metrics of a gateway."""
 
 from pollenwalk.errors import Refusal
 from pollenwalk.process.clock import MS_PER_SECOND
@@ -6,7 +6,7 @@
 
 
 class GatewayMetrics(MetricSet):
-    """The metrics of a gateway."""
+    """The counters, gauges and histograms of a gateway."""
 
     def __init__(self) -> None:
         """Register all metrics."""
@@ -59,20 +59,26 @@
         )
 
     def count_refusal(self, refusal: Refusal) -> None:
-        """Count a refusal."""
+        """Count a refused request by its code and outcome."""
         self.refused_total.inc(
             {'code': str(refusal.code), 'outcome': str(refusal.outcome)},
         )
 
     def count_request(self, kind: str, outcome: str, took_ms: float) -> None:
-        """Count and time a request."""
+        """Count a request by its outcome and record its duration.
+
+        Args:
+            kind: the kind of its route.
+            outcome: how it ended.
+            took_ms: its duration.
+        """
         self.requests_total.inc({'kind': kind, 'outcome': outcome})
         self.request_seconds.observe({'kind': kind}, took_ms / MS_PER_SECOND)
 
     def count_send(self, outcome: str) -> None:
-        """Count a send."""
+        """Count an attempt to send a call to an upstream host."""
         self.sends_total.inc({'outcome': outcome})
 
     def count_store_failure(self, what: str) -> None:
-        """Count an answer that the store did not give."""
+        """Count a read of the store that was not answered, by what was read."""
         self.store_losses_total.inc({'what': what})
--- a/pollenwalk/process/host_list.py
+++ b/pollenwalk/process/host_list.py
@@ -1,4 +1,4 @@
-"""Following the platform's list of hosts, as a hint."""
+"""Polls the platform's list of hosts, which serves only as a hint."""
 
 from typing import Protocol
 
@@ -12,14 +12,18 @@
 
 
 class HostList(Protocol):
-    """The platform's lagging list of live and leaving hosts."""
+    """The platform's list of live and leaving hosts, which may be out of date."""
 
     async def leaving(self) -> list[str]:
-        """Give the IP addresses of leaving hosts; raises `ConnectionLost`."""
+        """Return the IP addresses of leaving hosts.
+
+        Raises:
+            ConnectionLost: the platform did not answer.
+        """
 
 
 async def poll_host_list(hosts: HostList, fleet: Fleet, clock: Clock) -> None:
-    """Send no new work to hosts that the platform says are leaving."""
+    """Poll the list until cancelled, so that leaving hosts get no new calls."""
     while True:
         try:
             fleet.mark_leaving(await hosts.leaving())
--- a/pollenwalk/process/host_table.py
+++ b/pollenwalk/process/host_table.py
@@ -1,8 +1,9 @@
-"""The upstream hosts that are alive, and what is believed of each.
+"""The registered upstream hosts, with this gateway's estimate of each.
 
-A host is listed in the store under its id. An entry that goes while the
-store is in trouble may only have lapsed, so it is kept for as long as a
-living host takes to register again.
+A host registers itself in the store under its id. A registration that
+disappears after the store was unavailable may have lapsed although its host is
+alive. The host is therefore kept for the time that a live host needs to
+register again.
 """
 
 from collections.abc import Iterator
@@ -15,37 +16,42 @@
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.store import StoredObject
 
-# Living hosts are listed again about two seconds after the store is back.
+# Live hosts have registered again about 2 s after the store recovered.
 REREGISTRATION_MS = 2200.0
-# How long after the store was last silent an entry may still lapse.
+# Registrations may still lapse this long after the store recovered.
 STORE_RECOVERY_MS = 4000.0
-# The weight of a new service time in the running mean.
+# Weight of a new service time in the exponential moving average.
 SMOOTHING = 0.1
-# How long a host that failed is passed over, growing with each failure in a
-# row up to the second figure: a crashed process is back within seconds.
+# How long a host is suspected after a failure. The time doubles with each
+# consecutive failure up to the maximum, as a crashed process restarts within
+# seconds.
 MIN_SUSPICION_MS = 300.0
 MAX_SUSPICION_MS = 4000.0
-# More than lie between the two.
+# Enough doublings to reach the maximum; the bound keeps the power of two from
+# overflowing for a host that fails for hours.
 MAX_DOUBLINGS = 4
-# Reported load of other gateways is trusted for about one service time.
+# About one service time. The weight of a load report falls linearly to zero
+# within twice this time.
 LOAD_REPORT_TRUST_MS = 400.0
 
 
 class HostState:
-    """What one gateway believes of one start of a host.
+    """A gateway's estimate of one upstream host since the host's last start.
 
     Attributes:
-        registration: as the host registered itself.
-        in_flight: calls of this gateway there.
-        other_calls: calls of others there, at the last report.
-        reported_ms: time of that report; None before the first.
-        failures: in a row.
-        suspected_until_ms: while it is suspected.
-        removal_due_ms: when an entry that went is to be taken as gone.
+        registration: what the host registered about itself.
+        in_flight: number of this gateway's calls at the host.
+        other_calls: number of other gateways' calls at the host, as of the last
+            load report.
+        reported_at_ms: time of the last load report; None before the first.
+        failures: number of consecutive failures.
+        suspected_until_ms: time until which the host is suspected to fail.
+        removal_due_ms: time at which a host without a registration is removed;
+            None for a registered host.
     """
 
     def __init__(self, registration: UpstreamHost) -> None:
-        """Believe the best of a new host."""
+        """Create the state of an idle host that is not suspected."""
         self.registration = registration
         self.in_flight = 0
         self.other_calls = 0
@@ -55,13 +61,18 @@
         self.removal_due_ms: float | None = None
 
     def record_load(self, load: tuple[int, int, int], now_ms: float) -> None:
-        """Take a load that the host told with an answer."""
+        """Record the load that the host reported with an answer.
+
+        Args:
+            load: the numbers of running calls, waiting calls and slots.
+            now_ms: the current time.
+        """
         running, waiting, _ = load
         self.other_calls = max(running + waiting - self.in_flight, 0)
         self.reported_at_ms = now_ms
 
     def load(self, now_ms: float) -> float:
-        """Estimate the calls at the host."""
+        """Estimate the number of calls at the host, those of others included."""
         age_ms = self.report_age_ms(now_ms)
         if age_ms is None:
             return self.in_flight
@@ -69,27 +80,36 @@
         return self.in_flight + self.other_calls * trust
 
     def report_age_ms(self, now_ms: float) -> float | None:
-        """Give the age of the last report; None before the first."""
+        """Return the age of the last load report; None before the first."""
         return None if self.reported_at_ms is None else now_ms - self.reported_at_ms
 
     def record_failure(self, now_ms: float) -> None:
-        """Pass the host over for a while."""
+        """Suspect the host for a time that grows with consecutive failures."""
         self.failures += 1
         doublings = min(self.failures - 1, MAX_DOUBLINGS)
         pause_ms = MIN_SUSPICION_MS * 2**doublings
         self.suspected_until_ms = now_ms + min(pause_ms, MAX_SUSPICION_MS)
 
     def record_success(self) -> None:
-        """Trust the host again."""
+        """Clear the suspicion of the host."""
         self.failures = 0
         self.suspected_until_ms = 0.0
 
 
 class HostTable:
-    """All hosts, by id."""
+    """The upstream hosts that one gateway knows.
+
+    Attributes:
+        states: the state of each host, by its id.
+        loaded: whether the hosts have been read from the store.
+        store_unavailable_since_ms: time of the first read without an answer;
+            None while the store answers.
+        store_recovered_ms: time at which the store answered again; None if it
+            always answered.
+    """
 
     def __init__(self, clock: Clock) -> None:
-        """Start with none."""
+        """Create an empty table."""
         self.clock = clock
         self.states: dict[str, HostState] = {}
         self.loaded = False
@@ -97,7 +117,7 @@
         self.store_recovered_ms: float | None = None
 
     def apply_change(self, stored: StoredObject) -> None:
-        """Take a change of one host's entry."""
+        """Apply a changed or deleted registration; ignore an unreadable one."""
         name = stored.key.removeprefix(HOSTS_PREFIX)
         if not stored.body:
             self.registration_deleted(name, stored.version)
@@ -110,7 +130,10 @@
         self.register(registration, stored.version)
 
     def register(self, registration: UpstreamHost, version: int) -> None:
-        """Add a host, or change what it says of itself."""
+        """Add a host or update its registration.
+
+        A host that has started again loses its former state.
+        """
         state = self.states.get(registration.id)
         if state is None or state.registration.born_ms != registration.born_ms:
             state = HostState(registration)
@@ -126,7 +149,11 @@
         )
 
     def registration_deleted(self, host: str, version: int) -> None:
-        """Drop a host, at once or when it had time to register again."""
+        """Remove a host whose registration is gone.
+
+        It is removed at once, or, if the registration may only have lapsed,
+        once the host has had time to register again.
+        """
         state = self.states.get(host)
         if state is None:
             return
@@ -141,7 +168,10 @@
         self.remove_expired()
 
     def registrations_may_have_lapsed(self) -> bool:
-        """Tell whether entries may have lapsed although their hosts live."""
+        """Return whether registrations of live hosts may have lapsed.
+
+        That is so while the store is unavailable and shortly afterwards.
+        """
         if self.store_unavailable_since_ms is not None:
             return True
         if self.store_recovered_ms is None:
@@ -149,19 +179,19 @@
         return self.clock.now_ms() - self.store_recovered_ms < STORE_RECOVERY_MS
 
     def store_answered(self) -> None:
-        """Note an answer of the store."""
+        """Record that the store answered."""
         if self.store_unavailable_since_ms is None:
             return
         self.store_unavailable_since_ms = None
         self.store_recovered_ms = self.clock.now_ms()
 
     def store_failed(self) -> None:
-        """Note that the store gave no answer."""
+        """Record that the store did not answer."""
         if self.store_unavailable_since_ms is None:
             self.store_unavailable_since_ms = self.clock.now_ms()
 
     def remove_expired(self) -> None:
-        """Forget the hosts whose time is over."""
+        """Remove the hosts whose removal is due."""
         now_ms = self.clock.now_ms()
         expired = [
             name
@@ -172,7 +202,7 @@
             self.states.pop(name)
 
     def available_hosts(self, upstream: str) -> Iterator[HostState]:
-        """Give the hosts of an upstream that take new calls."""
+        """Yield the hosts of an upstream that are not leaving."""
         self.remove_expired()
         for state in self.states.values():
             if (
--- a/pollenwalk/process/joining.py
+++ b/pollenwalk/process/joining.py
@@ -1,8 +1,9 @@
-"""How a keeper with an empty disk becomes one that can answer for the past.
+"""Joining: a keeper with an empty disk fetches the records of the others.
 
-A turn is on one disk more than may be lost, so what all other keepers but
-the lost ones hold is everything. Until it has that, the keeper stores new
-records but doesn't say that something does not exist.
+Every turn is on one disk more than may be lost at the same time. The keeper
+therefore has all records once it has fetched those of all other keepers except
+as many as may be lost. Until then it stores new records, but does not report
+that a record does not exist.
 """
 
 from collections.abc import AsyncIterator
@@ -15,25 +16,28 @@
 from pollenwalk.process.keeper_members import Member
 from pollenwalk.program.turns import PullRecords, RecordBatch
 
-# The next batch of a keeper that is fetched from must come within this; a
-# batch takes a fifth of a second on the narrowest link between regions.
+# Timeout for each batch of records. A batch takes 200 ms on the slowest link
+# between regions.
 BATCH_TIMEOUT_MS = 1500.0
 FETCH_INTERVAL_MS = 200.0
-# A keeper that could not be reached for so long while another one joined is
-# replaced by it.
+# A joining keeper replaces one that it has not reached within this time.
 REPLACE_AFTER_MS = 3000.0
 
 
 class Joining:
-    """Fetches what a keeper lacks."""
+    """Fetches the missing records of a keeper from the other keepers.
+
+    Attributes:
+        fetched: names of the complete keepers whose records have been fetched.
+    """
 
     def __init__(self, keeper: Keeper) -> None:
-        """Prepare; nothing is fetched yet."""
+        """Create the joining of `keeper`; nothing has been fetched yet."""
         self.keeper = keeper
         self.fetched: set[str] = set()
 
     async def run(self) -> None:
-        """Fetch everything, then take the place of a keeper that is gone."""
+        """Fetch all records, then replace a keeper that can't be reached."""
         keeper = self.keeper
         started_ms = keeper.clock.now_ms()
         while not self.has_all_records():
@@ -47,10 +51,10 @@
         await self.replace_lost()
 
     def has_all_records(self) -> bool:
-        """Tell whether every record that counts has been fetched.
+        """Return whether enough keepers' records have been fetched.
 
-        This keeper's own former disk is one of the lost ones where it was a
-        member before.
+        If this keeper was listed before, its own former disk counts as one of
+        the lost ones.
         """
         keeper = self.keeper
         if not keeper.links.members.loaded:
@@ -60,16 +64,16 @@
         return len(self.fetched) >= required
 
     async def fetch_remaining(self) -> None:
-        """Fetch from every keeper that has not given all yet."""
+        """Fetch from every keeper whose records have not all been fetched."""
         for member in self.keeper.other_members():
             if member.name not in self.fetched and await self.fetch(member):
                 self.fetched.add(member.name)
 
     async def fetch(self, member: Member) -> bool:
-        """Fetch what one keeper holds of scarce records.
+        """Fetch one keeper's accounts and the turns that have too few copies.
 
         Returns:
-            Whether it gave everything and is complete itself.
+            Whether everything was fetched and the other keeper is complete.
         """
         keeper = self.keeper
         peer = Peer(member.address, keeper.network, keeper.clock, keeper.tasks)
@@ -88,10 +92,10 @@
         return complete
 
     async def batches(self, peer: Peer) -> AsyncIterator[RecordBatch]:
-        """Give what a keeper sends.
+        """Yield the batches of records that a keeper sends.
 
         Raises:
-            TimeoutError: the next batch did not come in time.
+            TimeoutError: the next batch did not arrive within the timeout.
         """
         stream = peer.stream(PullRecords(self.lost_keepers()))
         while True:
@@ -102,7 +106,10 @@
             yield batch
 
     def lost_keepers(self) -> list[str]:
-        """Name the keepers whose copies may be gone, this one included."""
+        """Return the names of the keepers whose copies may be lost.
+
+        They are the keepers that nothing was fetched from, and this one.
+        """
         fetched = self.fetched
         names = [
             one.name for one in self.keeper.other_members() if one.name not in fetched
@@ -110,7 +117,7 @@
         return [*names, self.keeper.settings.name]
 
     async def replace_lost(self) -> None:
-        """Take the place of one keeper that has been gone all the while."""
+        """Remove one keeper that still can't be fetched from, if there is one."""
         for member in self.keeper.other_members():
             if member.name in self.fetched or await self.fetch(member):
                 continue
--- a/pollenwalk/process/keeper.py
+++ b/pollenwalk/process/keeper.py
@@ -1,7 +1,8 @@
-"""A keeper: one replica of the turns and accounts of programs.
+"""A keeper: one of the processes that store turns and token accounts.
 
-Gateways write a record to keepers themselves and count it once enough disks
-have it, so there is no leader and nothing to take over when a keeper dies.
+Gateways write each record to several keepers themselves and regard it as stored
+once it is on enough disks. So there is no leader, and no takeover when a keeper
+dies.
 """
 
 import asyncio
@@ -40,14 +41,25 @@
     TurnRecord,
 )
 
-# Records in one message: some hundred kilobytes.
+# Most records in one message, which are some hundred kilobytes.
 MAX_BATCH_RECORDS = 64
 REGISTRATION_CHECK_INTERVAL_MS = 100.0
 EXPIRE_INTERVAL_MS = 5000.0
 
 
 class KeeperSettings(NamedTuple):
-    """What a keeper is told at its start."""
+    """The settings that a keeper reads at its start.
+
+    Attributes:
+        name: name of the keeper.
+        zone: availability zone of the keeper.
+        regions: the region of each zone.
+        address: `host:port` that the keeper listens on.
+        first_start: whether an empty disk is expected, as the keeper has never
+            stored anything.
+        tolerated_losses: how many keepers may be lost at the same time without
+            loss of data.
+    """
 
     name: str
     zone: str
@@ -61,9 +73,11 @@
     """One keeper process.
 
     Attributes:
+        own_member: this keeper's object in the store, as it should be.
         was_member: whether the store listed this keeper when it started.
-        retired: whether it is to be taken away and must not be listed.
-        store_unavailable: whether the store gave no answer at last.
+        retired: whether the keeper has been emptied and must not be listed.
+        store_unavailable: whether the last read of the store failed.
+        log_writer: the task that writes the record log.
     """
 
     def __init__(
@@ -74,7 +88,7 @@
         network: StreamNetwork,
         clock: Clock,
     ) -> None:
-        """Prepare; the disk is not read yet."""
+        """Create a keeper whose disk has not been read yet."""
         self.settings = settings
         self.state = state
         self.store = store
@@ -98,7 +112,7 @@
         self.log_writer: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Read the disk, then serve and follow the store."""
+        """Read the disk, then serve messages and watch the list of keepers."""
         self.state.open(self.settings.first_start)
         self.log_writer = self.tasks.spawn(self.state.log.run(), 'record_log')
         self.listener = await self.network.listen(
@@ -116,7 +130,7 @@
         self.tasks.spawn(self.expire(), 'expire')
 
     async def stop(self) -> None:
-        """End all work."""
+        """Cancel all tasks and close the connections and the log."""
         await self.tasks.cancel()
         await self.server.close()
         if self.listener is not None:
@@ -125,16 +139,16 @@
 
     @property
     def required_copies(self) -> int:
-        """Give how many disks must have a turn."""
+        """Return on how many disks a turn must be."""
         return self.settings.tolerated_losses + 1
 
     def other_members(self) -> list[Member]:
-        """Give the other keepers, the nearest first."""
+        """Return the other keepers, those that answer and are nearest first."""
         found = (link.member for link in self.links.ordered())
         return [one for one in found if one.name != self.settings.name]
 
     async def answer(self, _: Hello, message: Any) -> AsyncIterator[Any]:
-        """Answer one message of a gateway or of another keeper."""
+        """Yield the answers to a message of a gateway or of another keeper."""
         if isinstance(message, PullRecords):
             for batch in batched(self.records_to_restore(message.lost)):
                 yield RecordBatch(self.state.complete, batch)
@@ -148,23 +162,28 @@
         yield answer
 
     def refresh_metrics(self) -> None:
-        """Set the gauges."""
+        """Update the gauges."""
         self.metrics.turns.set({}, len(self.state.turns.records))
         self.metrics.turn_bytes.set({}, self.state.turns.size_bytes)
         self.metrics.accounts.set({}, len(self.state.ledger.accounts))
         self.metrics.complete.set({}, int(self.state.complete))
 
     def records_to_restore(self, lost: list[str]) -> Iterator[bytes]:
-        """Encode what a keeper needs that stands in for lost ones."""
+        """Yield the encoded records that a joining keeper has to fetch.
+
+        Args:
+            lost: names of the keepers whose copies don't count.
+        """
         live = self.links.members.by_name.keys() - set(lost)
         turns = self.state.underreplicated_turns(live, self.required_copies)
         return chain(self.state.account_records(), turns)
 
     async def answer_single(self, message: Any) -> Any:
-        """Answer a message that has one answer.
+        """Return the answer to a message that has a single answer.
 
         Raises:
-            Refusal: it is no message for a keeper, or for one that leaves.
+            Refusal: a keeper does not take this message, or takes no new turns
+                as it is retiring.
         """
         if isinstance(message, ReserveTokens):
             entries = await self.state.reserve(message)
@@ -180,26 +199,34 @@
         return Stored(self.state.complete)
 
     async def store_records(self, message: Any) -> None:
-        """Put what a message brings onto the disk."""
+        """Store the records of a message on disk.
+
+        Raises:
+            Refusal: a keeper does not take this message, or takes no new turns
+                as it is retiring.
+        """
         if isinstance(message, TurnRecord):
             if self.own_member.retiring:
-                raise Refusal(RefusalCode.RETIRING, 'this keeper is leaving')
+                raise Refusal(RefusalCode.RETIRING, 'this keeper is retiring')
             await self.state.store_record(message)
         elif isinstance(message, Settlements):
             await asyncio.gather(*map(self.state.store_record, message.settled))
         elif isinstance(message, PushRecords):
             await self.state.add_records(message.records)
         else:
-            raise Refusal(RefusalCode.PROTOCOL, 'no message for a keeper')
+            raise Refusal(RefusalCode.PROTOCOL, 'a keeper does not take this message')
 
     async def read_for_another(self, prefix: str) -> Listing:
-        """List a prefix of the store for somebody whom it turns away.
+        """List a prefix of the store for a process that can't reach the store.
 
         Raises:
-            Refusal: it gives this keeper no answer either.
+            Refusal: this keeper can't reach the store either.
         """
         if self.store_unavailable:
-            raise Refusal(RefusalCode.STORE_UNAVAILABLE, 'the store is lost here too')
+            raise Refusal(
+                RefusalCode.STORE_UNAVAILABLE,
+                'this keeper does not reach the store either',
+            )
         try:
             changes = await self.store.scan(prefix)
         except StoreUnavailable as error:
@@ -208,19 +235,22 @@
         return Listing(changes.revision, objects)
 
     def on_store_unavailable(self, error: StoreUnavailable) -> None:
-        """Note that the store gives no answer."""
+        """Record that the store did not answer."""
         self.store_unavailable = True
         log_store_unavailable(error)
 
     def on_keepers_read(self) -> None:
-        """Note that the keepers are known, and whether this one was listed."""
+        """Record that the store answered.
+
+        After the first read, also record whether this keeper was listed.
+        """
         self.store_unavailable = False
         if not self.links.members.loaded:
             self.links.members.mark_loaded()
             self.was_member = self.settings.name in self.links.members.by_name
 
     async def keep_registered(self) -> None:
-        """Put this keeper into the store whenever it isn't there."""
+        """Register this keeper whenever the store does not list it as it is."""
         backoff = Backoff(self.clock)
         while True:
             await self.clock.sleep_ms(REGISTRATION_CHECK_INTERVAL_MS)
@@ -239,23 +269,23 @@
             self.links.members.by_name[self.own_member.name] = self.own_member
 
     def needs_registration(self) -> bool:
-        """Tell whether the store lists this keeper otherwise than it is.
+        """Return whether this keeper's object in the store must be written.
 
-        One that still fetches records is not listed, since it can't answer
-        for the past.
+        A keeper that still fetches records is not listed, as it can't tell
+        whether a record exists.
         """
         listed = self.links.members.by_name.get(self.own_member.name)
         should_be_listed = self.state.complete and not self.retired
         return should_be_listed and listed != self.own_member
 
     async def remove(self, member: Member) -> None:
-        """Take a keeper off the list, however long the store is away."""
+        """Remove a keeper from the store, however long the store is unavailable."""
         await self.retry_until_acknowledged(lambda: self.store.delete(member.key))
 
     async def retry_until_acknowledged(
         self, write: Callable[[], Awaitable[object]]
     ) -> None:
-        """Write to the store until it answers."""
+        """Repeat a write until the store acknowledges it."""
         backoff = Backoff(self.clock)
         while True:
             try:
@@ -267,7 +297,7 @@
             return
 
     async def expire(self) -> None:
-        """Forget what is over, now and then."""
+        """Drop expired records and compact the log at regular intervals."""
         while True:
             await self.clock.sleep_ms(EXPIRE_INTERVAL_MS)
             self.state.expire()
@@ -275,7 +305,7 @@
 
 
 def batched(records: Iterable[bytes]) -> Iterator[list[bytes]]:
-    """Group records; at least one batch, even if it is empty."""
+    """Yield records in batches; a last one is yielded even if it is empty."""
     batch: list[bytes] = []
     for record in records:
         batch.append(record)
@@ -286,5 +316,5 @@
 
 
 def log_store_unavailable(error: StoreUnavailable) -> None:
-    """Log that the store gave no answer."""
+    """Log that the store did not answer."""
     logger.warning('store_unavailable', what='keepers', reason=error.message)
--- a/pollenwalk/process/keeper_daemon.py
+++ b/pollenwalk/process/keeper_daemon.py
@@ -1,4 +1,4 @@
-"""Runs one keeper as a process of its own, until SIGTERM."""
+"""Runs one keeper as a process until SIGTERM."""
 
 import asyncio
 import sys
@@ -23,7 +23,7 @@
 
 
 def run_keeper(settings: Settings) -> None:
-    """Run a keeper until it is told to stop.
+    """Run a keeper until SIGTERM.
 
     Raises:
         UserError: the folder or an address can't be used.
@@ -36,8 +36,8 @@
 
 
 async def serve(settings: Settings) -> None:
-    """Serve until SIGTERM."""
-    # Nothing of a keeper can be changed while it runs.
+    """Run a keeper and its metrics page until SIGTERM or a failure of the disk."""
+    # No setting of a keeper can be changed while it runs.
     stopped = stop_on_signals(lambda: logger.info('reload'))
     store = PlatformStore(settings.of('store')['url'])
     keeper = make_keeper(settings, store)
@@ -53,24 +53,25 @@
 
 
 async def start_metrics_page(keeper: Keeper, address: str) -> HttpServer:
-    """Serve the metrics of a keeper."""
+    """Start the HTTP server for the metrics of a keeper."""
     page = metrics_server(keeper.metrics, keeper.refresh_metrics, address)
     await page.start()
     return page
 
 
 def start_membership_tasks(keeper: Keeper, store: PlatformStore) -> None:
-    """Begin what changes the keepers: joining them, and leaving them."""
+    """Start the tasks by which a keeper joins the others and retires."""
     keeper.tasks.spawn(Retirement(keeper, store).watch_requests(), 'follow_retirements')
     if not keeper.state.complete:
         keeper.tasks.spawn(Joining(keeper).run(), 'join')
 
 
 async def wait_for_stop(stopped: asyncio.Event, keeper: Keeper) -> None:
-    """Wait until the process is told to stop.
+    """Wait for the stop signal.
 
     Raises:
-        OSError: the disk failed; what was not synced is not acknowledged.
+        OSError: the disk failed; records that were not synced have not been
+            acknowledged.
     """
     stop_wait = asyncio.ensure_future(stopped.wait())
     waiting = {stop_wait, keeper.log_writer} - {None}
@@ -80,7 +81,7 @@
 
 
 def make_keeper(settings: Settings, store: PlatformStore) -> Keeper:
-    """Make a keeper from checked settings."""
+    """Create a keeper from validated settings."""
     own = settings.of('keeper')
     clock = LoopClock()
     return Keeper(
--- a/pollenwalk/process/keeper_group.py
+++ b/pollenwalk/process/keeper_group.py
@@ -1,8 +1,8 @@
-"""The keepers as a gateway uses them: enough copies, a quorum for budgets.
+"""The keepers as a gateway uses them.
 
-With f keepers that may be lost at once, a record counts when f + 1 disks
-have it; it does not exist when all keepers but f say so; and a majority of
-all keepers decides on budgets.
+If f keepers may be lost at the same time, a turn is stored once it is on f + 1
+disks, and a turn does not exist if all keepers but f report that they don't
+have it. Budgets are decided with the answers of a majority of all keepers.
 """
 
 import asyncio
@@ -29,20 +29,27 @@
     TurnRecord,
 )
 
-# Turns that a gateway remembers; the least gateway has 128 MB in all.
+# Size of a gateway's cache of turns. The smallest gateway has 128 MB of memory.
 CACHE_BYTES = 16_000_000
-# Settlements wait so long for company: much less than the second for which
-# a finished turn may still count at its most.
+# Settlements are sent in batches at this interval. It is much shorter than the
+# second for which a finished turn may still count with its whole reservation.
 SETTLE_INTERVAL_MS = 30.0
-# Pause before keepers that gave no answer are asked again: half of the pause
-# after which a lost one is probed.
+# Pause before a request is repeated that too few keepers answered: half of the
+# interval at which lost keepers are probed.
 RETRY_INTERVAL_MS = 100.0
 
 Result = TypeVar('Result')
 
 
 class KeeperGroup:
-    """All keepers that the store lists."""
+    """Stores and finds records at all keepers that the store lists.
+
+    Attributes:
+        cache: the turns that this gateway used last.
+        retry_advisor: sets Retry-After of refusals because of unavailable
+            keepers.
+        unsettled: settlements that will be sent with the next batch.
+    """
 
     def __init__(
         self,
@@ -51,7 +58,15 @@
         tasks: TaskSet,
         tolerated_losses: int,
     ) -> None:
-        """Use the keepers behind `links`."""
+        """Create a group of the keepers behind `links`.
+
+        Args:
+            links: the connections to the keepers.
+            clock: the clock of the gateway.
+            tasks: run the sending of settlements.
+            tolerated_losses: how many keepers may be lost at the same time
+                without loss of data.
+        """
         self.links = links
         self.clock = clock
         self.tasks = tasks
@@ -62,11 +77,15 @@
 
     @property
     def required_copies(self) -> int:
-        """Give how many disks must have a record."""
+        """Return on how many disks a record must be."""
         return self.tolerated_losses + 1
 
     async def ask_all(self, message: Any) -> AsyncIterator[Any]:
-        """Ask all keepers at once and give the answers as they come."""
+        """Send a message to all keepers and yield the answers as they arrive.
+
+        Keepers that fail or don't answer in time are skipped. Requests that are
+        still open when the caller stops iterating are cancelled.
+        """
         pending = [
             asyncio.ensure_future(self.links.ask(link, message))
             for link in self.links.ordered()
@@ -81,10 +100,11 @@
                 task.cancel()
 
     async def store_turn(self, record: TurnRecord) -> list[str]:
-        """Have a turn kept on enough disks.
+        """Store a turn on enough disks.
 
         Returns:
-            The keepers that were asked first.
+            The names of the keepers that were asked first and are noted in the
+            record as its replicas.
 
         Raises:
             Refusal: too few keepers answer.
@@ -101,12 +121,16 @@
     async def retry_until_acknowledged(
         self, work: Callable[[], Awaitable[Result]]
     ) -> Result:
-        """Do again what keepers that gave no answer had to confirm.
+        """Repeat an operation until enough keepers have acknowledged it.
+
+        The repetition ends by cancellation at the deadline of the caller.
 
-        Ends when the caller's time is over, by cancellation.
+        Args:
+            work: the operation, which must be idempotent.
 
         Raises:
-            Refusal: for another reason than silent keepers.
+            Refusal: the operation was refused for another reason than
+                unavailable keepers.
         """
         while True:
             try:
@@ -117,10 +141,10 @@
             await self.clock.sleep_ms(RETRY_INTERVAL_MS)
 
     async def load_chain(self, turn: str) -> list[TurnRecord]:
-        """Find a turn and all before it, the oldest first.
+        """Return a turn and all its predecessors, the oldest first.
 
         Raises:
-            Refusal: it does not exist, or nobody can be certain.
+            Refusal: a turn does not exist, or too few keepers answer to tell.
         """
         found = self.cache.use_chain(turn)
         turns = found.turns
@@ -132,10 +156,12 @@
         return turns
 
     async def find_chain(self, turn: str) -> Chain:
-        """Find a part of a chain at the keepers, the nearest first.
+        """Return the part of a chain that the first keeper with the turn has.
+
+        The keepers are asked one after the other, the nearest first.
 
         Raises:
-            Refusal: the turn does not exist, or nobody can be certain.
+            Refusal: the turn does not exist, or too few keepers answer to tell.
         """
         links = self.links.ordered()
         without_turn = 0
@@ -146,14 +172,21 @@
             without_turn += int(found is not None and found.complete)
         if links and without_turn >= len(links) - self.tolerated_losses:
             raise Refusal(RefusalCode.UNKNOWN_TURN, f'no turn {turn}')
-        raise keepers_unavailable(f'{without_turn} of {len(links)} have no turn {turn}')
+        raise keepers_unavailable(
+            f'only {without_turn} of {len(links)} keepers confirm that there is no '
+            f'turn {turn}',
+        )
 
     async def ask_for_chain(self, link: KeeperLink, turn: str) -> Chain | None:
-        """Ask one keeper for a turn; None where it gives no answer."""
+        """Ask one keeper for a turn's chain; return None if it does not answer."""
         return await answer_or_none(self.links.ask(link, FindChain(turn)))
 
     async def read_prefix(self, prefix: str) -> Changes | None:
-        """List a prefix of the store by way of the first keeper that can."""
+        """List a prefix of the store through the nearest keeper that reaches it.
+
+        Returns:
+            The objects; None if no keeper reaches the store.
+        """
         for link in self.links.ordered():
             pending = self.links.ask(link, ReadPrefix(prefix))
             listing: Listing | None = await answer_or_none(pending)
@@ -169,13 +202,17 @@
         return None
 
     def settle(self, message: SettleTokens) -> None:
-        """Tell all keepers what a turn has shown, together with others."""
+        """Queue a settlement, which is sent to all keepers in a batch."""
         self.unsettled.append(message)
         if len(self.unsettled) == 1:
             self.tasks.spawn(self.send_settlements(), 'settle')
 
     async def send_settlements(self) -> None:
-        """Send what has gathered; a keeper that misses it counts the most."""
+        """Wait for more settlements, then send all of them to all keepers.
+
+        A keeper that does not get a settlement goes on to count the whole
+        reservation of the turn.
+        """
         await self.clock.sleep_ms(SETTLE_INTERVAL_MS)
         message = Settlements(self.unsettled)
         self.unsettled = []
@@ -184,7 +221,7 @@
 
 
 async def answer_or_none(pending: Any) -> Any:
-    """Wait for an answer; a failure was logged where it arose."""
+    """Return an answer, or None after a failure, which is logged by its source."""
     try:
         return await pending
     except PollenwalkError:
--- a/pollenwalk/process/keeper_links.py
+++ b/pollenwalk/process/keeper_links.py
@@ -1,7 +1,7 @@
-"""A gateway's ways to the keepers, and which of them are open.
+"""Connections to the keepers, with the detection of lost ones.
 
-A keeper that gave no answer in time is lost until a probe reaches it; until
-then it is not asked, so that nothing waits for it in vain.
+A keeper that does not answer in time is regarded as lost until a probe reaches
+it. Until then no requests are sent to it, so that none waits for its timeout.
 """
 
 from typing import Any
@@ -16,27 +16,30 @@
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.program.turns import Settlements
 
-# A round trip between regions, two syncs and a lost packet.
+# Timeout of a request: enough for a round trip between regions, two syncs of
+# the disk and the retransmission of a lost packet.
 ASK_TIMEOUT_MS = 700.0
-# A lost keeper is probed so often; a process is back within a second.
+# Interval between the probes of a lost keeper; a process restarts within 1 s.
 PROBE_INTERVAL_MS = 200.0
-# Zones by their distance.
+# Ranks of zones by their distance.
 SAME_ZONE = 0
 SAME_REGION = 1
 OTHER_REGION = 2
 
 
 class KeeperLink:
-    """One keeper as a gateway sees it.
+    """The connection to one keeper.
 
     Attributes:
-        member: as the store lists it.
-        distance: rank of its zone.
-        lost_since_ms: since when it gives no answer; None while it does.
+        member: the keeper as the store lists it.
+        peer: sends the requests.
+        distance: rank of the keeper's zone.
+        lost_since_ms: time since which the keeper has not answered; None while
+            it answers.
     """
 
     def __init__(self, member: Member, peer: Peer, distance: int) -> None:
-        """Trust a new keeper."""
+        """Create the link to a keeper that is not lost."""
         self.member = member
         self.peer = peer
         self.distance = distance
@@ -44,7 +47,12 @@
 
 
 class KeeperLinks:
-    """The links to all keepers that the store lists."""
+    """The links to all keepers that the store lists.
+
+    Attributes:
+        members: the keepers in the store.
+        by_name: the links by the names of their keepers.
+    """
 
     def __init__(
         self,
@@ -54,7 +62,7 @@
         zone: str,
         regions: dict[str, str],
     ) -> None:
-        """Start with none known."""
+        """Create the links of a process in `zone`; no keeper is known yet."""
         self.network = network
         self.clock = clock
         self.tasks = tasks
@@ -64,7 +72,7 @@
         self.by_name: dict[str, KeeperLink] = {}
 
     def ordered(self) -> list[KeeperLink]:
-        """Give all keepers, those that answer and stand near first."""
+        """Return the links to all keepers, answering and near keepers first."""
         links = [self.link(member) for member in self.members.by_name.values()]
         return sorted(
             links,
@@ -76,7 +84,7 @@
         )
 
     def link(self, member: Member) -> KeeperLink:
-        """Give the link to a keeper, a new one where its address is new."""
+        """Return the link to a keeper; a new one if its address has changed."""
         link = self.by_name.get(member.name)
         if link is None or link.member.address != member.address:
             peer = Peer(member.address, self.network, self.clock, self.tasks)
@@ -87,7 +95,7 @@
         return link
 
     def distance(self, zone: str) -> int:
-        """Rank a zone: this one, this region, another region."""
+        """Return the rank of a zone by its distance from this process."""
         if zone == self.zone:
             return SAME_ZONE
         same_region = self.regions.get(zone) == self.regions.get(self.zone)
@@ -95,33 +103,34 @@
 
     @property
     def majority(self) -> int:
-        """Give how many keepers decide on budgets."""
+        """Return how many keepers are a majority of all listed ones."""
         return len(self.members.by_name) // 2 + 1
 
     def lost_times_ms(self) -> list[float]:
-        """Give since when each lost keeper is lost."""
+        """Return the times since which the lost keepers are lost."""
         lost = (link.lost_since_ms for link in self.ordered())
         return [since_ms for since_ms in lost if since_ms is not None]
 
     @property
     def has_majority(self) -> bool:
-        """Tell whether a majority of the keepers answers."""
+        """Return whether a majority of the keepers answers."""
         answering = len(self.members.by_name) - len(self.lost_times_ms())
         return answering >= self.majority
 
     @property
     def without_majority_ms(self) -> float:
-        """Give for how long no majority has answered; 0 while one does."""
+        """Return for how long no majority has answered; 0 while one answers."""
         if self.has_majority:
             return 0
         since_ms = max(self.lost_times_ms(), default=self.clock.now_ms())
         return self.clock.now_ms() - since_ms
 
     async def ask(self, link: KeeperLink, message: Any) -> Any:
-        """Ask one keeper.
+        """Send a message to one keeper and return its answer.
 
         Raises:
-            PollenwalkError: it gave no answer, or is known to give none.
+            ConnectionLost: the keeper is lost, or did not answer in time.
+            PollenwalkError: the keeper refused.
         """
         if link.lost_since_ms is not None:
             raise ConnectionLost(f'{link.member.name} is lost')
@@ -132,7 +141,7 @@
             raise
 
     def mark_lost(self, link: KeeperLink, error: PollenwalkError) -> None:
-        """Take a keeper for lost and begin to probe it."""
+        """Mark a keeper as lost and start to probe it."""
         if link.lost_since_ms is not None:
             return
         link.lost_since_ms = self.clock.now_ms()
@@ -145,12 +154,12 @@
         self.tasks.spawn(self.probe(link), 'probe')
 
     async def probe(self, link: KeeperLink) -> None:
-        """Ask a lost keeper until it answers or is no longer listed."""
+        """Probe a lost keeper until it answers or its link is replaced."""
         while self.by_name.get(link.member.name) is link:
             try:
                 await link.peer.ask(Settlements([]), ASK_TIMEOUT_MS)
             except PollenwalkError:
-                # Already logged as lost.
+                # The loss has been logged by `mark_lost`.
                 await self.clock.sleep_ms(PROBE_INTERVAL_MS)
                 continue
             since_ms = link.lost_since_ms or 0
--- a/pollenwalk/process/keeper_members.py
+++ b/pollenwalk/process/keeper_members.py
@@ -1,4 +1,4 @@
-"""The keepers as the store lists them."""
+"""The list of keepers in the store."""
 
 from typing import NamedTuple
 
@@ -11,13 +11,13 @@
 
 
 class Member(NamedTuple):
-    """One keeper.
+    """One keeper, as it registers itself in the store.
 
     Attributes:
-        name: of its host.
-        address: where it takes messages.
-        zone: its availability zone.
-        retiring: whether it takes no new records.
+        name: name of the keeper's host.
+        address: `host:port` on which the keeper accepts connections.
+        zone: availability zone of the keeper.
+        retiring: whether the keeper accepts no new turns.
     """
 
     name: str
@@ -27,28 +27,29 @@
 
     @property
     def key(self) -> str:
-        """Give the key of its object in the store."""
+        """Return the key of the keeper's object in the store."""
         return f'{KEEPERS_PREFIX}{self.name}'
 
     def encode(self) -> bytes:
-        """Give the body of its object in the store."""
+        """Return the body of the keeper's object in the store, as JSON."""
         return msgspec.json.encode(self._asdict())
 
 
 class Members:
-    """All keepers, by name.
+    """The keepers that the store lists.
 
     Attributes:
-        loaded: whether the store has been read.
+        by_name: the keepers by their names.
+        loaded: whether the list has been read from the store.
     """
 
     def __init__(self) -> None:
-        """Start with none known."""
+        """Create an empty list that has not been read from the store."""
         self.by_name: dict[str, Member] = {}
         self.loaded = False
 
     def apply_change(self, stored: StoredObject) -> None:
-        """Take a change of one keeper's object."""
+        """Apply a changed or deleted object of one keeper."""
         name = stored.key.removeprefix(KEEPERS_PREFIX)
         if stored.body:
             self.add(name, stored.body)
@@ -62,7 +63,7 @@
         )
 
     def add(self, name: str, body: bytes) -> None:
-        """Add a keeper; an object that can't be read changes nothing."""
+        """Add or replace a keeper; log and ignore an unreadable object."""
         try:
             self.by_name[name] = msgspec.convert(
                 tuple(msgspec.json.decode(body).values()),
@@ -72,5 +73,5 @@
             logger.error('keeper_unreadable', keeper=name, reason=str(error))
 
     def mark_loaded(self) -> None:
-        """Note that the store has been read."""
+        """Record that the list has been read from the store."""
         self.loaded = True
--- a/pollenwalk/process/keeper_metrics.py
+++ b/pollenwalk/process/keeper_metrics.py
@@ -1,10 +1,10 @@
-"""What a keeper counts and times."""
+"""Metrics of a keeper."""
 
 from pollenwalk.process.metrics_page import MetricSet
 
 
 class KeeperMetrics(MetricSet):
-    """The metrics of a keeper."""
+    """The counters, gauges and histograms of a keeper."""
 
     def __init__(self) -> None:
         """Register all metrics."""
--- a/pollenwalk/process/keeper_state.py
+++ b/pollenwalk/process/keeper_state.py
@@ -1,4 +1,4 @@
-"""What one keeper holds: turns and accounts, in memory and on disk."""
+"""The turns and token accounts of one keeper, in memory and on disk."""
 
 import asyncio
 from collections.abc import Collection, Iterable, Iterator
@@ -20,33 +20,40 @@
     TurnRecord,
 )
 
-# A tenth of the smallest disk of the deployments (350 MB) may be over.
+# The log is compacted once this much has been written: about a tenth of the
+# smallest disk of any deployment, which has 350 MB, may hold expired records.
 COMPACTION_THRESHOLD_BYTES = 32_000_000
 
 
 class KeeperState:
-    """The records of one keeper."""
+    """The records of one keeper.
+
+    Attributes:
+        log: the records on disk.
+        turns: the turns in memory.
+        ledger: the token accounts in memory.
+    """
 
     def __init__(self, disk: RecordDisk, clock: Clock) -> None:
-        """Keep records on `disk`."""
+        """Create an empty state, whose records are stored on `disk`."""
         self.log = disk
         self.turns = TurnIndex(clock)
         self.ledger = Ledger(clock)
 
     @property
     def complete(self) -> bool:
-        """Tell whether the keeper can answer for the past.
+        """Return whether the keeper can answer for the past.
 
-        It can where it holds all that it has ever acknowledged, or has
-        fetched from others what a lost disk held.
+        It can if it has all records that it has ever acknowledged, or has
+        fetched the records of a lost disk from other keepers.
         """
         return self.log.complete
 
     def open(self, first_start: bool) -> None:
-        """Read what is on the disk.
+        """Read all records from the disk.
 
         Args:
-            first_start: whether an empty disk is as it should be.
+            first_start: whether an empty disk is expected, and so complete.
         """
         count = 0
         for record in self.log.open():
@@ -62,7 +69,7 @@
         )
 
     def apply_encoded(self, record: bytes) -> None:
-        """Apply an encoded record that is on the disk."""
+        """Apply an encoded record from the disk; log and skip an unreadable one."""
         try:
             message = decode_datagram(record)
         except PollenwalkError as error:
@@ -71,7 +78,7 @@
         self.apply(message)
 
     def apply(self, message: Any) -> None:
-        """Apply a record in memory."""
+        """Apply a record to the turns and accounts in memory."""
         if isinstance(message, TurnRecord):
             self.turns.put(message)
             settled = SettleTokens(
@@ -87,22 +94,27 @@
             self.ledger.settle(message)
 
     async def store_record(self, message: Any) -> None:
-        """Apply a record and wait until it is on the disk."""
+        """Apply a record and wait until it is synced to disk."""
         self.apply(message)
         await self.log.append(encode_datagram(message))
 
     async def reserve(self, message: ReserveTokens) -> list[TokenEntry]:
-        """Reserve tokens; gives all that is known once it is on the disk."""
+        """Reserve tokens for a turn.
+
+        Returns:
+            The entries of all turns of the program, once the reservation is
+            synced to disk.
+        """
         entries = self.ledger.reserve(message)
         await self.log.append(encode_datagram(message))
         return entries
 
     def chain(self, turn: str) -> Chain:
-        """Find a turn and those before it."""
+        """Return a turn and its predecessors, as far as this keeper has them."""
         return self.turns.use_chain(turn)._replace(complete=self.complete)
 
     def account_records(self) -> Iterator[bytes]:
-        """Encode all that is known of programs' tokens."""
+        """Yield the encoded reservations and settlements of all accounts."""
         for program, account in list(self.ledger.accounts.items()):
             for entry in list(account.entries.values()):
                 yield encode_datagram(
@@ -112,18 +124,22 @@
     def underreplicated_turns(
         self, live: Collection[str], required_copies: int
     ) -> Iterator[bytes]:
-        """Encode the turns of which fewer copies are left than needed.
+        """Yield the encoded turns that have too few copies.
 
         Args:
-            live: the keepers whose copies count.
-            required_copies: that are needed.
+            live: names of the keepers whose copies count.
+            required_copies: how many copies a turn must have.
         """
         for record in list(self.turns.records.values()):
             if len(set(record.replicas).intersection(live)) < required_copies:
                 yield encode_datagram(record)
 
     async def add_records(self, records: Iterable[bytes]) -> int:
-        """Keep another keeper's records; gives how many were new."""
+        """Store those of another keeper's records that are new.
+
+        Returns:
+            The number of new records, once they are synced to disk.
+        """
         new: list[bytes] = []
         for record in records:
             message = decode_datagram(record)
@@ -134,7 +150,7 @@
         return len(new)
 
     def is_new(self, message: Any) -> bool:
-        """Tell whether a record adds anything."""
+        """Return whether a record adds a turn, a reservation or a settlement."""
         if isinstance(message, TurnRecord):
             return message.turn not in self.turns.records
         account = self.ledger.accounts.get(message.program)
@@ -143,7 +159,7 @@
         return entry is None or (settles and not entry.settled)
 
     async def compact(self) -> None:
-        """Write all that is held anew once the disk holds much that is over."""
+        """Rewrite the log with the live records once it has grown enough."""
         if self.log.bytes_since_compaction < COMPACTION_THRESHOLD_BYTES:
             return
         await self.log.start_compaction()
@@ -153,13 +169,13 @@
         logger.info('compacted', records=len(live_records))
 
     def expire(self) -> None:
-        """Forget what is over."""
+        """Drop the expired turns and accounts from memory."""
         self.turns.expire()
         self.ledger.expire()
 
 
 def entry_to_record(program: str, entry: TokenEntry, retention_ms: float) -> Any:
-    """Turn an entry of an account back into the record that made it."""
+    """Return the record that creates an account entry."""
     if entry.settled:
         return SettleTokens(program, entry.turn, entry.tokens, retention_ms)
     return ReserveTokens(program, entry.turn, entry.tokens, retention_ms)
--- a/pollenwalk/process/prefix_watcher.py
+++ b/pollenwalk/process/prefix_watcher.py
@@ -1,9 +1,10 @@
-"""Following what is below a prefix of the store.
+"""Watches the objects below a prefix of the store.
 
-A watch is not enough: it may hear nothing while changes are made, or be cut
-without a word. So each watch is short enough for what depends on it, and an
-answer without changes never moves the revision that the next one starts from:
-that one is answered at once if the last has missed anything.
+A single watch is not reliable: it may stall and miss changes, or its connection
+may be cut unnoticed. Therefore each watch ends within the time in which its
+user needs to learn of a change. A watch that ends without changes does not
+advance the revision from which the next one starts, so that the next one is
+answered at once with any changes that were missed.
 """
 
 from collections.abc import Awaitable, Callable
@@ -21,16 +22,17 @@
 
 
 class WatchHandlers(NamedTuple):
-    """Who hears of what is followed.
+    """The functions that a prefix watcher calls.
 
     Attributes:
-        on_object: gets each object; it must bear one that it has seen. An object
-            that is gone comes without a body, also when it went while the
-            store could not be watched.
-        on_read: called after each answer.
-        on_unavailable: called when the store gave no answer.
-        relay: lists the prefix by way of another process while the store
-            gives no answer here; None where that can't be done either.
+        on_object: called with each new, changed or deleted object; must be
+            idempotent, as an object may be passed more than once. A deleted
+            object has an empty body, also if it was deleted while the store
+            could not be watched.
+        on_read: called after each answer of the store or of the relay.
+        on_unavailable: called each time the store did not answer.
+        relay: lists the prefix through another process while the store does
+            not answer this one; it returns None if that fails, too.
     """
 
     on_object: Callable[[StoredObject], None]
@@ -40,11 +42,14 @@
 
 
 class PrefixWatcher:
-    """Reads everything below a prefix, then each change, for ever.
+    """Reads all objects below a prefix, then watches their changes.
 
     Attributes:
-        revision: that the next watch starts from; None to list anew.
-        checked: of the store, at its last answer.
+        next_revision: revision from which the next watch starts; None if all
+            objects have to be listed.
+        answered_revision: latest revision of the store in any answer. Listings
+            of a relay that are older than this are ignored.
+        known_keys: keys of the objects that exist, to find deleted ones.
     """
 
     def __init__(
@@ -55,15 +60,15 @@
         handlers: WatchHandlers,
         wait_ms: float = LONG_WAIT_MS,
     ) -> None:
-        """Prepare to follow.
+        """Create a watcher that has not read anything.
 
         Args:
             store: the platform's store.
-            clock: paces the tries while the store is silent.
-            prefix: what to follow.
-            handlers: who hears of it.
-            wait_ms: how long a watch may stay quiet, and so the longest
-                until a change is heard of while the store answers.
+            clock: paces the retries while the store does not answer.
+            prefix: prefix of the keys to watch.
+            handlers: the functions to call.
+            wait_ms: longest duration of a watch, and thus the longest time
+                until a change is noticed while the store answers.
         """
         self.store = store
         self.clock = clock
@@ -75,7 +80,7 @@
         self.known_keys: set[str] = set()
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Watch until cancelled."""
         backoff = Backoff(self.clock)
         while True:
             try:
@@ -90,14 +95,14 @@
             self.notify(changed)
 
     def notify(self, changed: list[StoredObject]) -> None:
-        """Hand over what was read."""
+        """Call the handlers for the objects that were read."""
         for stored in changed:
             self.handlers.on_object(stored)
         if self.handlers.on_read is not None:
             self.handlers.on_read()
 
     async def read_via_relay(self) -> None:
-        """List by way of another process, if there is one."""
+        """List the prefix through the relay, if there is one."""
         if self.handlers.relay is None:
             return
         listing = await self.handlers.relay(self.prefix)
@@ -105,10 +110,14 @@
             self.notify(self.apply_listing(listing))
 
     async def read(self) -> list[StoredObject]:
-        """Read everything at first, then what is newer than the last read.
+        """List all objects at first; after that, wait for changes.
+
+        Returns:
+            The new, changed and deleted objects; empty if the watch ended
+            without changes.
 
         Raises:
-            StoreUnavailable: the store gave no answer.
+            StoreUnavailable: the store did not answer.
         """
         if self.next_revision is None:
             return self.apply_listing(await self.store.scan(self.prefix))
@@ -129,7 +138,10 @@
         return changes.objects
 
     def apply_listing(self, listing: Changes) -> list[StoredObject]:
-        """Add a deletion for each object that is no longer listed."""
+        """Record a listing, and return its objects and the deleted ones.
+
+        An object counts as deleted if it was known and is not listed.
+        """
         self.next_revision = listing.revision
         self.answered_revision = max(self.answered_revision, listing.revision)
         listed = {stored.key for stored in listing.objects}
@@ -141,7 +153,7 @@
         return [*listing.objects, *gone]
 
     def track_key(self, stored: StoredObject) -> None:
-        """Remember whether an object is there."""
+        """Add the key of an existing object, or remove that of a deleted one."""
         if stored.body:
             self.known_keys.add(stored.key)
         else:
@@ -155,5 +167,5 @@
     on_object: Callable[[StoredObject], None],
     on_read: Callable[[], None] | None = None,
 ) -> None:
-    """Follow a prefix on its own, for ever."""
+    """Watch a prefix until cancelled, with the longest watches and no relay."""
     await PrefixWatcher(store, clock, prefix, WatchHandlers(on_object, on_read)).run()
--- a/pollenwalk/process/record_log.py
+++ b/pollenwalk/process/record_log.py
@@ -1,8 +1,8 @@
 """An append-only log on disk, in segments, with group commit.
 
-A record counts once its bytes are synced; records that arrive during a sync
-share the next one. A start never appends to an older segment, whose end may
-be torn.
+A record is durable once its bytes are synced. Records that arrive during a sync
+are written and synced together afterwards. Each start begins a new segment, as
+the end of the last one may be torn.
 """
 
 import asyncio
@@ -21,44 +21,51 @@
 
 
 class RecordDisk(Protocol):
-    """Where a keeper's records survive it.
+    """Durable storage of a keeper's records.
 
     Attributes:
-        complete: whether the disk holds all that was ever acknowledged.
-        bytes_since_compaction: bytes since the records were last written anew.
+        complete: whether the disk has all records that the keeper has ever
+            acknowledged.
+        bytes_since_compaction: bytes written since the last compaction started,
+            or, before the first one, also those found on disk.
     """
 
     complete: bool
     bytes_since_compaction: int
 
     def open(self) -> Iterator[bytes]:
-        """Give each record, then be ready to append."""
+        """Yield each record, then prepare for appending."""
 
     async def append(self, record: bytes) -> None:
-        """Write a record and wait until it is synced."""
+        """Append a record and wait until it is synced."""
 
     async def run(self) -> None:
-        """Write what is appended, for ever.
+        """Write the appended records until cancelled.
 
         Raises:
             OSError: the disk failed.
         """
 
     async def start_compaction(self) -> None:
-        """Append from now on apart from all that is there."""
+        """Separate the records that are appended from now on from older ones."""
 
     async def finish_compaction(self) -> None:
-        """Delete all that was there before the last `start_compaction`."""
+        """Delete the records from before the last `start_compaction`."""
 
     def mark_complete(self) -> None:
-        """Remember across restarts that the disk is complete."""
+        """Record on disk that the disk is complete."""
 
     def close(self) -> None:
         """Stop writing."""
 
 
 class PendingRecord(NamedTuple):
-    """A framed record and who waits for it."""
+    """A framed record that is not synced yet.
+
+    Attributes:
+        frame: the record with its header.
+        synced: done once the record is synced.
+    """
 
     frame: bytes
     synced: asyncio.Future[None]
@@ -68,12 +75,15 @@
     """The log of one keeper; implements `RecordDisk`.
 
     Attributes:
-        segment: number of the segment that is written.
-        complete: whether the mark of completeness is in the folder.
+        segment: number of the segment to which records are appended.
+        descriptor: file descriptor of that segment; -1 while there is none.
+        complete: whether the folder has the marker file of a complete disk.
+        pending: the records that are not written yet.
+        executor: the only thread that writes to the disk.
     """
 
     def __init__(self, folder: Path) -> None:
-        """Keep segments in `folder`."""
+        """Create a log with its segments in `folder`, without opening it."""
         self.folder = folder
         self.segment = 0
         self.bytes_since_compaction = 0
@@ -84,7 +94,7 @@
         self.executor = ThreadPoolExecutor(1, thread_name_prefix='disk')
 
     def segments(self) -> list[int]:
-        """List the numbers of the segments on disk, the oldest first."""
+        """Return the numbers of the segments on disk, the oldest first."""
         names = (
             path.name for path in self.folder.glob(f'{SEGMENT_PREFIX}*{SEGMENT_SUFFIX}')
         )
@@ -95,11 +105,11 @@
         return sorted(int(number) for number in numbers if number.isdecimal())
 
     def path(self, segment: int) -> Path:
-        """Give the path of a segment."""
+        """Return the path of a segment."""
         return self.folder / f'{SEGMENT_PREFIX}{segment:08d}{SEGMENT_SUFFIX}'
 
     def open(self) -> Iterator[bytes]:
-        """Give each record on disk, the oldest first; begin a new segment."""
+        """Yield each record on disk, the oldest first, then begin a new segment."""
         self.folder.mkdir(parents=True, exist_ok=True)
         self.complete = COMPLETE_MARKER in os.listdir(self.folder)
         for segment in self.segments():
@@ -109,12 +119,12 @@
         self.begin_segment()
 
     def mark_complete(self) -> None:
-        """Remember across restarts that the disk is complete."""
+        """Record on disk that the disk is complete."""
         self.complete = True
         write_synced(self.folder / COMPLETE_MARKER, b'1')
 
     def begin_segment(self) -> None:
-        """Create a segment so that its name survives a power loss."""
+        """Create and open the next segment; its name survives a power loss."""
         if self.descriptor >= 0:
             os.close(self.descriptor)
         self.segment = max(self.segments(), default=0) + 1
@@ -124,16 +134,16 @@
         sync_directory(self.folder)
 
     async def start_compaction(self) -> None:
-        """Begin a segment behind what is being written."""
+        """Begin a new segment after the write in progress."""
         await self.run_in_executor(self.begin_segment)
         self.bytes_since_compaction = 0
 
     async def finish_compaction(self) -> None:
-        """Delete all segments but the last."""
+        """Delete all segments but the current one."""
         await self.run_in_executor(self.delete_older_segments)
 
     def delete_older_segments(self) -> None:
-        """Delete all segments but the one that is written."""
+        """Delete all segments but the current one, in the writer's thread."""
         for segment in self.segments():
             if segment < self.segment:
                 self.path(segment).unlink()
@@ -142,12 +152,12 @@
     async def run_in_executor(
         self, function: Callable[..., None], *arguments: Any
     ) -> None:
-        """Run something in the thread that alone touches the disk."""
+        """Run a function in the only thread that writes to the disk."""
         loop = asyncio.get_running_loop()
         await loop.run_in_executor(self.executor, function, *arguments)
 
     async def append(self, record: bytes) -> None:
-        """Write a record and wait until it is synced."""
+        """Append a record and wait until it is synced."""
         synced: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         frame = FRAME_HEADER.pack(len(record), zlib.crc32(record)) + record
         self.pending.append(PendingRecord(frame, synced))
@@ -155,7 +165,11 @@
         await synced
 
     async def run(self) -> None:
-        """Write and sync what waits, for ever."""
+        """Write and sync the appended records in batches, until cancelled.
+
+        Raises:
+            OSError: the disk failed.
+        """
         while True:
             await self.wake.wait()
             self.wake.clear()
@@ -167,7 +181,7 @@
                     one.synced.set_result(None)
 
     def write(self, payload: bytes) -> None:
-        """Write bytes and sync them."""
+        """Append bytes to the current segment and sync it."""
         view = memoryview(payload)
         while view:
             view = view[os.write(self.descriptor, view) :]
@@ -175,7 +189,7 @@
         self.bytes_since_compaction += len(payload)
 
     def close(self) -> None:
-        """Close the file."""
+        """Stop the writing thread and close the current segment."""
         self.executor.shutdown(wait=False)
         if self.descriptor >= 0:
             os.close(self.descriptor)
@@ -183,7 +197,7 @@
 
 
 def read_frames(payload: bytes) -> Iterator[bytes]:
-    """Give the records of a segment, up to the first that is torn."""
+    """Yield the records of a segment up to the first torn or damaged one."""
     position = 0
     while position + FRAME_HEADER.size <= len(payload):
         length, checksum = FRAME_HEADER.unpack_from(payload, position)
@@ -196,7 +210,7 @@
 
 
 def write_synced(path: Path, payload: bytes) -> None:
-    """Write a small file that survives a power loss."""
+    """Write a small file durably, so that it survives a power loss."""
     with path.open('wb') as target:
         target.write(payload)
         target.flush()
@@ -205,7 +219,7 @@
 
 
 def sync_directory(folder: Path) -> None:
-    """Make created and removed names survive a power loss."""
+    """Sync a directory, so that created and deleted names survive a power loss."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/pollenwalk/process/recorder.py
+++ b/pollenwalk/process/recorder.py
@@ -1,7 +1,7 @@
-"""Records a program's changes: durable first, then applied.
+"""Changes programs by records: first made durable, then applied.
 
-The running home and a successor's replay apply the same records, so state
-that callers can see is always state that a successor would find.
+A running owner applies the same records as a successor that replays the
+journal. So callers only ever see state that a successor would restore.
 """
 
 import asyncio
@@ -27,7 +27,14 @@
 
 
 class Recorder:
-    """The only way in which a running home changes its programs."""
+    """The only way in which a running owner changes its programs.
+
+    Attributes:
+        settled_calls: ids of calls that sidecars may drop, by the address of
+            the sidecar; they are sent with the next batch.
+        on_committed: called with applied records and the number of the journal
+            segment that was next before they were committed.
+    """
 
     def __init__(
         self,
@@ -36,7 +43,7 @@
         clock: Clock,
         tasks: TaskSet,
     ) -> None:
-        """Record into `journal`, then apply to `table`."""
+        """Create a recorder that commits to `journal`, then applies to `table`."""
         self.journal = journal
         self.table = table
         self.clock = clock
@@ -49,7 +56,17 @@
     def record_later(
         self, live: LiveProgram, build: BuildRecords
     ) -> asyncio.Task[None]:
-        """Record in the background, in the order of these calls."""
+        """Start to record in the background.
+
+        Records of one program are committed in the order of these calls.
+
+        Args:
+            live: the program.
+            build: computes the records under the program's lock.
+
+        Returns:
+            The task, which ends once the records are applied.
+        """
         return self.tasks.spawn(self.commit_locked(live, build), 'record')
 
     async def record(
@@ -58,17 +75,17 @@
         build: BuildRecords,
         wait_ms: float | None = None,
     ) -> None:
-        """Record and wait until it is durable and applied.
+        """Record and wait until the records are durable and applied.
 
-        A record whose wait runs out is still written and applied later.
+        After a timeout the records are still committed and applied later.
 
         Args:
             live: the program.
             build: computes the records under the program's lock.
-            wait_ms: how long to wait; None waits for ever.
+            wait_ms: timeout of the wait; None to wait without one.
 
         Raises:
-            Refusal: the wait ran out.
+            Refusal: the wait timed out.
             Fenced: a successor owns the program.
         """
         task = self.record_later(live, build)
@@ -82,13 +99,13 @@
             raise store_unavailable() from error
 
     async def commit_locked(self, live: LiveProgram, build: BuildRecords) -> None:
-        """Compute, commit and apply under the program's lock."""
+        """Compute, commit and apply records under the program's lock."""
         async with live.lock:
             records = build()
             await self.commit(records)
 
     async def commit(self, records: list[Record]) -> None:
-        """Commit and apply records that need no lock."""
+        """Commit and apply records; the caller holds the lock if one is needed."""
         segment = self.journal.next_segment
         await self.journal.commit(records)
         for record in records:
@@ -96,21 +113,27 @@
         self.on_committed(records, segment)
 
     async def confirm_ownership(self, wait_ms: float) -> None:
-        """Prove that this home still owns its programs.
+        """Confirm that this owner still owns its programs.
 
         Raises:
             Fenced: a successor owns them.
-            TimeoutError: neither the store nor the witnesses answer.
+            TimeoutError: neither the store nor the witnesses answered within
+                `wait_ms`.
         """
         async with self.clock.timeout_ms(wait_ms):
             await self.journal.confirm()
 
     def settle(self, address: str, call: str) -> None:
-        """Let a sidecar drop a call whose result is durable."""
+        """Queue the message that a sidecar may drop a call, as its result is durable.
+
+        Args:
+            address: address of the sidecar.
+            call: id of the call.
+        """
         self.settled_calls.setdefault(address, []).append(call)
 
     async def send_settlements(self, peers: PeerSource) -> None:
-        """Tell the sidecars in batches, for as long as the home lives."""
+        """Send the queued settlements to the sidecars in batches, until cancelled."""
         while True:
             await self.clock.sleep_ms(SETTLE_INTERVAL_MS)
             batches = self.settled_calls
@@ -123,7 +146,7 @@
 
 
 def store_unavailable() -> Refusal:
-    """Refuse because nothing can be made durable now."""
+    """Return the refusal of a change that could not be made durable in time."""
     return Refusal(
         RefusalCode.STORE_UNAVAILABLE,
         'the store does not answer',
--- a/pollenwalk/process/retirement.py
+++ b/pollenwalk/process/retirement.py
@@ -1,7 +1,8 @@
-"""How a keeper is replicate_elsewhere before its host is taken away.
+"""Retirement: a keeper hands over its records before its host is removed.
 
-It takes no new turns, sees to it that every turn it holds is on enough other
-disks, leaves the list and only then says that it is done.
+The keeper stops accepting turns, copies its records until every turn is on
+enough other disks, removes itself from the list of keepers, and only then
+reports that the retirement is completed.
 """
 
 from collections.abc import Iterable
@@ -27,31 +28,40 @@
     TurnRecord,
 )
 
-# The shortest time for which emptying is asked is several seconds; a watch
-# that has stalled must be noticed well before.
+# Longest duration of a watch of the requests. The shortest time given for a
+# retirement is several seconds, and a stalled watch must end well before.
 WATCH_WAIT_MS = 2500
 RETRY_INTERVAL_MS = 200.0
 
 
 class StatusStore(ObjectStore, Protocol):
-    """A store in which the status of others' objects can be written."""
+    """A store in which a process can write the status of objects of others."""
 
     async def report(self, key: str, status: dict[str, Any]) -> None:
-        """Write the status of an object."""
+        """Write the status of an object.
+
+        Raises:
+            StoreUnavailable: the store did not answer.
+        """
 
 
 class Retirement:
-    """Empties one keeper when it is asked for."""
+    """Retires one keeper on request.
+
+    Attributes:
+        key: key in the store of the request to retire this keeper.
+        started: whether the request has been received.
+    """
 
     def __init__(self, keeper: Keeper, store: StatusStore) -> None:
-        """Wait for the request."""
+        """Create the retirement of `keeper`, which has not been requested."""
         self.keeper = keeper
         self.store = store
         self.key = f'{RETIREMENTS_PREFIX}{keeper.settings.name}'
         self.started = False
 
     async def watch_requests(self) -> None:
-        """Follow the requests for as long as the process lives."""
+        """Watch the requests for retirement until cancelled."""
         handlers = WatchHandlers(self.on_request, on_unavailable=log_store_unavailable)
         await PrefixWatcher(
             self.store,
@@ -62,7 +72,7 @@
         ).run()
 
     def on_request(self, stored: StoredObject) -> None:
-        """Take a request; the first one for this keeper begins the work."""
+        """Start the retirement at the first valid request for this keeper."""
         if stored.key != self.key or not stored.body or self.started:
             return
         try:
@@ -75,7 +85,7 @@
         self.keeper.tasks.spawn(self.run(), 'retire')
 
     async def run(self) -> None:
-        """Empty this keeper and say so."""
+        """Retire this keeper and report its status."""
         keeper = self.keeper
         keeper.own_member = keeper.own_member._replace(retiring=True)
         await self.report(False)
@@ -87,14 +97,18 @@
         logger.info('retired', turns=len(keeper.state.turns.records))
 
     async def report(self, done: bool) -> None:
-        """Write the status, however long the store is away."""
+        """Write the status, however long the store is unavailable."""
         status = retirement_status(done)
         await self.keeper.retry_until_acknowledged(
             lambda: self.store.report(self.key, status)
         )
 
     async def replicate_elsewhere(self) -> bool:
-        """Copy what others lack; False where it could not all be done."""
+        """Copy all records to enough other keepers.
+
+        Returns:
+            Whether every record was copied; if not, it has to be tried again.
+        """
         others = [one for one in self.keeper.other_members() if not one.retiring]
         if len(others) < self.keeper.required_copies:
             logger.warning('retirement_waits', others=len(others))
@@ -109,11 +123,16 @@
         return True
 
     async def push_accounts(self, member: Member) -> None:
-        """Give another keeper all accounts."""
+        """Send all accounts to another keeper."""
         await self.push(member, self.keeper.state.account_records())
 
     async def push_turns(self, member: Member, others: list[Member]) -> None:
-        """Give another keeper the turns that it is to hold and lacks."""
+        """Send another keeper the turns that it is to have and lacks.
+
+        Args:
+            member: the other keeper.
+            others: all keepers that may be replicas, the preferred ones first.
+        """
         updated = (
             record._replace(replicas=self.choose_replicas(record, others))
             for record in list(self.keeper.state.turns.records.values())
@@ -128,14 +147,17 @@
         await self.push(member, missing_records)
 
     def choose_replicas(self, record: TurnRecord, others: list[Member]) -> list[str]:
-        """Choose the keepers of a turn from now on: its replicas, then the nearest."""
+        """Return the names of the keepers that are to have a turn.
+
+        Its present replicas among `others` are preferred, then the first others.
+        """
         names = [one.name for one in others]
         kept = [name for name in names if name in record.replicas]
         added = [name for name in names if name not in record.replicas]
         return [*kept, *added][: self.keeper.required_copies]
 
     async def push(self, member: Member, records: Iterable[bytes]) -> None:
-        """Give another keeper records, in batches."""
+        """Send encoded records to another keeper, in batches."""
         link = self.keeper.links.link(member)
         for batch in batched(records):
             await self.keeper.links.ask(link, PushRecords(batch))
