--- a/pollenwalk/process/gateway_daemon.py
+++ b/pollenwalk/process/gateway_daemon.py
@@ -1,17 +1,8 @@
 """Runs one gateway as a process until SIGTERM."""
 
-import asyncio
-import random
-import sys
 from http import HTTPStatus
-from pathlib import Path
-
 from loguru import logger
-from starlette.applications import Starlette
-from starlette.requests import Request
-from starlette.responses import Response
-from starlette.routing import Route
-
+from pathlib import Path
 from pollenwalk.connection.addresses import split_address
 from pollenwalk.connection.gateway_app import GatewayApp
 from pollenwalk.connection.http_server import HttpServer
@@ -19,12 +10,22 @@
 from pollenwalk.errors import UserError
 from pollenwalk.platform.names import READY_PATH
 from pollenwalk.platform.objects import PlatformStore
-from pollenwalk.process.clock import MS_PER_SECOND, LoopClock
-from pollenwalk.process.gateway import Gateway, GatewaySettings
+from pollenwalk.process.clock import LoopClock
+from pollenwalk.process.clock import MS_PER_SECOND
+from pollenwalk.process.gateway import Gateway
+from pollenwalk.process.gateway import GatewaySettings
 from pollenwalk.process.logs import set_up_logs
 from pollenwalk.process.metrics_page import metrics_server
-from pollenwalk.process.settings import Settings, read_settings
+from pollenwalk.process.settings import Settings
+from pollenwalk.process.settings import read_settings
 from pollenwalk.process.signals import stop_on_signals
+from starlette.applications import Starlette
+from starlette.requests import Request
+from starlette.responses import Response
+from starlette.routing import Route
+import asyncio
+import random
+import sys
 
 # The load balancer checks readiness once a second and removes a gateway after
 # two failed checks.
@@ -48,7 +49,7 @@
     Raises:
         UserError: an address can't be bound.
     """
-    set_up_logs(settings.of('process')['log_level'], sys.stdout)
+    set_up_logs(settings.section('process')['log_level'], sys.stdout)
     try:
         asyncio.run(GatewayProcess(settings, path).run())
     except OSError as error:
@@ -68,8 +69,8 @@
         self.settings = settings
         self.path = path
         self.clock = LoopClock()
-        own = settings.of('gateway')
-        self.store = PlatformStore(settings.of('store')['url'])
+        own = settings.section('gateway')
+        self.store = PlatformStore(settings.section('store')['url'])
         self.gateway = Gateway(
             GatewaySettings(
                 own['name'],
@@ -121,7 +122,7 @@
 
     async def run(self) -> None:
         """Serve until SIGTERM, then finish the requests in progress."""
-        own = self.settings.of('gateway')
+        own = self.settings.section('gateway')
         stopped = stop_on_signals(self.reload)
         logger.info('start', role='gateway', name=own['name'], zone=own['zone'])
         await self.gateway.start()
@@ -174,4 +175,4 @@
             return
         logger.info('reload', changed=settings != self.settings)
         self.settings = settings
-        self.store.url = settings.of('store')['url']
+        self.store.url = settings.section('store')['url']
--- a/pollenwalk/process/host_list.py
+++ b/pollenwalk/process/host_list.py
@@ -26,7 +26,7 @@
     """Poll the list until cancelled, so that leaving hosts get no new calls."""
     while True:
         try:
-            fleet.mark_leaving(await hosts.leaving())
+            fleet.update_leaving_addresses(await hosts.leaving())
         except ConnectionLost as error:
             logger.debug('host_list_silent', reason=error.message)
         await clock.sleep_ms(POLL_INTERVAL_MS)
--- a/pollenwalk/process/keeper_daemon.py
+++ b/pollenwalk/process/keeper_daemon.py
@@ -1,18 +1,15 @@
 """Runs one keeper as a process until SIGTERM."""
 
-import asyncio
-import sys
-from pathlib import Path
-
 from loguru import logger
-
+from pathlib import Path
 from pollenwalk.connection.http_server import HttpServer
 from pollenwalk.connection.tcp_network import TcpNetwork
 from pollenwalk.errors import UserError
 from pollenwalk.platform.objects import PlatformStore
 from pollenwalk.process.clock import LoopClock
 from pollenwalk.process.joining import Joining
-from pollenwalk.process.keeper import Keeper, KeeperSettings
+from pollenwalk.process.keeper import Keeper
+from pollenwalk.process.keeper import KeeperSettings
 from pollenwalk.process.keeper_state import KeeperState
 from pollenwalk.process.logs import set_up_logs
 from pollenwalk.process.metrics_page import metrics_server
@@ -20,6 +17,8 @@
 from pollenwalk.process.retirement import Retirement
 from pollenwalk.process.settings import Settings
 from pollenwalk.process.signals import stop_on_signals
+import asyncio
+import sys
 
 
 def run_keeper(settings: Settings) -> None:
@@ -28,7 +27,7 @@
     Raises:
         UserError: the folder or an address can't be used.
     """
-    set_up_logs(settings.of('process')['log_level'], sys.stdout)
+    set_up_logs(settings.section('process')['log_level'], sys.stdout)
     try:
         asyncio.run(serve(settings))
     except OSError as error:
@@ -39,12 +38,12 @@
     """Run a keeper and its metrics page until SIGTERM or a failure of the disk."""
     # No setting of a keeper can be changed while it runs.
     stopped = stop_on_signals(lambda: logger.info('reload'))
-    store = PlatformStore(settings.of('store')['url'])
+    store = PlatformStore(settings.section('store')['url'])
     keeper = make_keeper(settings, store)
     logger.info('start', role='keeper', name=keeper.settings.name)
     await keeper.start()
     start_membership_tasks(keeper, store)
-    page = await start_metrics_page(keeper, settings.of('keeper')['metrics'])
+    page = await start_metrics_page(keeper, settings.section('keeper')['metrics'])
     await wait_for_stop(stopped, keeper)
     await page.stop()
     await keeper.stop()
@@ -82,7 +81,7 @@
 
 def make_keeper(settings: Settings, store: PlatformStore) -> Keeper:
     """Create a keeper from validated settings."""
-    own = settings.of('keeper')
+    own = settings.section('keeper')
     clock = LoopClock()
     return Keeper(
         KeeperSettings(
--- a/pollenwalk/process/prefix_watcher.py
+++ b/pollenwalk/process/prefix_watcher.py
@@ -13,7 +13,7 @@
 from pollenwalk.errors import StoreHistoryGone, StoreUnavailable
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.store import (
-    LONG_WAIT_MS,
+    WATCH_TIMEOUT_MS,
     Backoff,
     Changes,
     ObjectStore,
@@ -58,7 +58,7 @@
         clock: Clock,
         prefix: str,
         handlers: WatchHandlers,
-        wait_ms: float = LONG_WAIT_MS,
+        wait_ms: float = WATCH_TIMEOUT_MS,
     ) -> None:
         """Create a watcher that has not read anything.
 
--- a/pollenwalk/process/sidecar_service.py
+++ b/pollenwalk/process/sidecar_service.py
@@ -1,4 +1,4 @@
-"""What a sidecar answers to entries and operators."""
+"""Handlers for the requests that entries and operators send to a sidecar."""
 
 from collections.abc import AsyncIterator, Callable
 from typing import Any, Protocol
@@ -19,87 +19,102 @@
     Tokens,
 )
 from pollenwalk.errors import Outcome, Refusal, RefusalCode
-from pollenwalk.process.sidecar_calls import Sessions
-from pollenwalk.process.upstream_calls import UpstreamCalls
+from pollenwalk.process.call_executor import CallExecutor
+from pollenwalk.process.sidecar_calls import EpochFence
 
 RETRY_AFTER_MS = 1000
 
 
-class SidecarWork(Protocol):
-    """A sidecar, as the answers to its peers see it.
+class SidecarInterface(Protocol):
+    """The part of a sidecar that the request handlers use.
 
     Attributes:
-        boot: of this start.
-        leaving: whether it takes no new calls.
-        work: its calls.
+        boot_id: id of this start of the process.
+        leaving: whether new calls are refused.
+        executor: runs the calls.
     """
 
-    boot: str
+    boot_id: str
     leaving: bool
-    work: UpstreamCalls
+    executor: CallExecutor
 
     def send_report(self) -> None:
-        """Send one report to each entry."""
+        """Send a load report to each entry known to this sidecar."""
 
 
 class SidecarService:
-    """Answers peers for one start of a sidecar."""
+    """Handles the requests to a sidecar."""
 
-    def __init__(self, sidecar: SidecarWork) -> None:
-        """Answer for `sidecar`."""
+    def __init__(self, sidecar: SidecarInterface) -> None:
+        """Handle requests on behalf of `sidecar`."""
         self.sidecar = sidecar
-        self.work = sidecar.work
-        self.sessions = Sessions()
+        self.executor = sidecar.executor
+        self.epoch_fence = EpochFence()
 
     async def handle(self, hello: Hello, message: Any) -> AsyncIterator[Any]:
-        """Answer one question of an entry."""
-        self.sessions.open(hello.incarnation, hello.epoch)
-        answer = HANDLERS.get(type(message))
-        if answer is None:
+        """Handle one request and yield its replies.
+
+        Args:
+            hello: the first message of the connection.
+            message: the request.
+
+        Raises:
+            Refusal: the request is refused, or no handler takes its type.
+        """
+        self.epoch_fence.advance(hello.incarnation, hello.epoch)
+        handler = HANDLERS.get(type(message))
+        if handler is None:
             raise Refusal(RefusalCode.PROTOCOL, f'unexpected {type(message)}')
-        async for item in answer(self, hello, message):
+        async for item in handler(self, hello, message):
             yield item
 
-    async def take(self, hello: Hello, message: Dispatch) -> AsyncIterator[Any]:
-        """Take a call over, or attach to the one already here."""
-        self.sessions.check(hello.incarnation, hello.epoch)
-        self.check_boot(message.boot, Outcome.NOT_RUN)
-        call = self.work.calls.calls.get(message.call)
+    async def dispatch(self, hello: Hello, message: Dispatch) -> AsyncIterator[Any]:
+        """Start a call, or attach to it if it is already here.
+
+        An idempotent call that has failed is started again. Yields the tokens
+        and the answer, or NeedHistory if the history that the delta is based
+        on is missing.
+        """
+        self.epoch_fence.check(hello.incarnation, hello.epoch)
+        self.check_boot_id(message.boot_id, Outcome.NOT_RUN)
+        call = self.executor.calls.by_id.get(message.call)
         if call is None or (call.failed and message.idempotent):
-            self.check_open()
-            history = self.work.histories.join(message) if self.work.grants else []
+            self.check_accepting()
+            history = (
+                self.executor.histories.merge(message) if self.executor.leases else []
+            )
             if history is None:
                 yield NeedHistory(message.program)
                 return
-            call = self.work.begin(message, history)
+            call = self.executor.start_call(message, history)
         async for item in call.follow(0):
             yield self.with_load(item)
 
     def with_load(self, item: Tokens | Answer) -> Tokens | Answer:
-        """Let an answer tell how many calls are still here."""
+        """Add the number of running and queued calls to an answer."""
         if isinstance(item, Tokens):
             return item
-        ahead = self.work.slot_queue.running + len(self.work.slot_queue.waiting)
+        ahead = self.executor.slot_queue.running + len(self.executor.slot_queue.waiting)
         return item._replace(ahead=ahead)
 
-    def check_boot(self, boot: str, outcome: Outcome) -> None:
-        """Refuse what was meant for an earlier start of this sidecar."""
-        if boot != self.sidecar.boot:
+    def check_boot_id(self, boot_id: str, outcome: Outcome) -> None:
+        """Refuse a request that was meant for an earlier start of this sidecar."""
+        if boot_id != self.sidecar.boot_id:
             raise Refusal(
                 RefusalCode.STALE_SESSION,
-                'this sidecar has restarted',
+                'sidecar restarted; the request names an earlier start',
                 outcome,
             )
 
-    def check_open(self) -> None:
-        """Refuse new calls while leaving or without a declaration."""
+    def check_accepting(self) -> None:
+        """Refuse new calls if the host is leaving or has no declaration yet."""
         if self.sidecar.leaving:
             raise Refusal(
                 RefusalCode.STOPPING,
                 'this upstream host is leaving',
                 retry_after_ms=RETRY_AFTER_MS,
             )
-        if self.work.spec is None:
+        if self.executor.spec is None:
             raise Refusal(
                 RefusalCode.NO_UPSTREAM,
                 'this sidecar has no declaration yet',
@@ -107,48 +122,52 @@
             )
 
     async def follow(self, hello: Hello, message: Follow) -> AsyncIterator[Any]:
-        """Attach to a call."""
-        self.check_boot(message.boot, Outcome.UNKNOWN)
-        async for item in self.work.calls.find(message.call).follow(message.offset):
+        """Attach to a call and yield its tokens from an offset on, then its answer."""
+        self.check_boot_id(message.boot_id, Outcome.UNKNOWN)
+        async for item in self.executor.calls.find(message.call).follow(message.offset):
             yield item
 
     async def resolve(self, hello: Hello, message: Resolve) -> AsyncIterator[Any]:
-        """Tell what became of a call, and see to it that this stays so."""
-        self.check_boot(message.boot, Outcome.UNKNOWN)
+        """Report the state of a call: 'done', 'running' or 'not_run'.
+
+        If the request names a sealed incarnation, its later dispatches are
+        rejected, so that 'not_run' stays true.
+        """
+        self.check_boot_id(message.boot_id, Outcome.UNKNOWN)
         if message.fence:
-            self.sessions.seal(message.fence)
-        call = self.work.calls.calls.get(message.call)
+            self.epoch_fence.seal(message.fence)
+        call = self.executor.calls.by_id.get(message.call)
         if call is None:
             yield Resolution('not_run')
         else:
             yield Resolution('done' if call.ended_ms else 'running')
 
     async def settle(self, hello: Hello, message: Settle) -> AsyncIterator[Any]:
-        """Drop calls whose results are durable elsewhere."""
+        """Drop ended calls whose results the owner has made durable."""
         for call_id in message.calls:
-            call = self.work.calls.calls.get(call_id)
+            call = self.executor.calls.by_id.get(call_id)
             if call is not None and call.ended_ms:
-                self.work.calls.calls.pop(call_id)
+                self.executor.calls.by_id.pop(call_id)
         yield Done()
 
     async def renew(self, hello: Hello, message: Renew) -> AsyncIterator[Any]:
-        """Renew leases on engine memory."""
-        if self.work.grants is not None:
+        """Renew the leases of programs on engine memory."""
+        if self.executor.leases is not None:
             for program in message.programs:
-                self.work.grants.renew(program)
+                self.executor.leases.renew(program)
         yield Done()
 
     async def release(self, hello: Hello, message: Release) -> AsyncIterator[Any]:
-        """Cancel what ended programs run and return their memory."""
+        """Cancel the idempotent calls of ended programs and free their memory."""
         for program in message.programs:
-            await self.work.cancel_program(program)
-            self.work.histories.drop(program)
-            if self.work.grants is not None:
-                await self.work.grants.release(program)
+            await self.executor.cancel_program(program)
+            self.executor.histories.drop(program)
+            if self.executor.leases is not None:
+                await self.executor.leases.release(program)
         yield Done()
 
     async def drain(self, hello: Hello, message: Drain) -> AsyncIterator[Any]:
-        """Take no new calls from now on."""
+        """Refuse new calls from now on and report that the host is leaving."""
         self.sidecar.leaving = True
         self.sidecar.send_report()
         yield Done()
@@ -156,7 +175,7 @@
 
 Handler = Callable[[SidecarService, Hello, Any], AsyncIterator[Any]]
 HANDLERS: dict[type[Any], Handler] = {
-    Dispatch: SidecarService.take,
+    Dispatch: SidecarService.dispatch,
     Follow: SidecarService.follow,
     Resolve: SidecarService.resolve,
     Settle: SidecarService.settle,
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -73,7 +73,7 @@
                     f'no host of {self.request.upstream} takes work now',
                     retry_after_ms=RETRY_AFTER_MS,
                 )
-            hosts = self.context.fleet.views(self.request.upstream)
+            hosts = self.context.fleet.available_hosts(self.request.upstream)
             host = self.context.placement.choose(hosts, self.placement_request())
             if host is not None:
                 return host
@@ -105,21 +105,21 @@
         if connection is None:
             connection = await self.context.peers(host.address).connected()
         with self.context.tracer.span('dispatch', self.request.trace) as trace:
-            message = self.build(host, connection.boot, max_tokens, trace)
+            message = self.build(host, connection.boot_id, max_tokens, trace)
             self.call.running = True
-            self.context.fleet.sent(host.sidecar, self.call.id)
+            self.context.fleet.add_call(host.sidecar, self.call.id)
             try:
                 answer = await dispatch(connection, self.live, self.call, message)
             finally:
-                self.context.fleet.returned(host.sidecar, self.call.id)
-        self.context.fleet.answered(host.sidecar, answer.ahead)
+                self.context.fleet.remove_call(host.sidecar, self.call.id)
+        self.context.fleet.update_load(host.sidecar, answer.ahead)
         self.context.retries.of(self.program.caller, self.request.upstream).earn()
         return answer._replace(ahead=0)
 
     def build(
         self,
         host: HostView,
-        boot: str,
+        boot_id: str,
         max_tokens: int,
         trace: str,
     ) -> Dispatch:
@@ -133,7 +133,7 @@
         return Dispatch(
             self.call.id,
             self.program.id,
-            boot,
+            boot_id,
             self.request.operation,
             self.request.operation not in self.spec.non_idempotent,
             self.request.argument,
@@ -150,7 +150,7 @@
     async def lost(self, host: HostView) -> None:
         """Leave a silent host out and pause before the next attempt."""
         logger.info('host_lost', sidecar=host.sidecar, call=self.call.id)
-        self.context.fleet.refused(host.sidecar, LOST_PAUSE_MS)
+        self.context.fleet.pause_host(host.sidecar, LOST_PAUSE_MS)
         await self.pause(host)
 
     async def refused(self, host: HostView, refusal: Refusal) -> None:
@@ -160,9 +160,9 @@
             Refusal: the attempts or the retries are used up.
         """
         if refusal.code == RefusalCode.STOPPING:
-            self.context.fleet.leaves(host.sidecar)
+            self.context.fleet.mark_leaving(host.sidecar)
         else:
-            self.context.fleet.refused(
+            self.context.fleet.pause_host(
                 host.sidecar,
                 refusal.retry_after_ms or REFUSED_PAUSE_MS,
             )
