--- a/pollenwalk/process/gateway_daemon.py
+++ b/pollenwalk/process/gateway_daemon.py
@@ -1,8 +1,17 @@
 """Runs one gateway as a process until SIGTERM."""
 
+import asyncio
+import random
+import sys
 from http import HTTPStatus
-from loguru import logger
 from pathlib import Path
+
+from loguru import logger
+from starlette.applications import Starlette
+from starlette.requests import Request
+from starlette.responses import Response
+from starlette.routing import Route
+
 from pollenwalk.connection.addresses import split_address
 from pollenwalk.connection.gateway_app import GatewayApp
 from pollenwalk.connection.http_server import HttpServer
@@ -10,22 +19,12 @@
 from pollenwalk.errors import UserError
 from pollenwalk.platform.names import READY_PATH
 from pollenwalk.platform.objects import PlatformStore
-from pollenwalk.process.clock import LoopClock
-from pollenwalk.process.clock import MS_PER_SECOND
-from pollenwalk.process.gateway import Gateway
-from pollenwalk.process.gateway import GatewaySettings
+from pollenwalk.process.clock import MS_PER_SECOND, LoopClock
+from pollenwalk.process.gateway import Gateway, GatewaySettings
 from pollenwalk.process.logs import set_up_logs
 from pollenwalk.process.metrics_page import metrics_server
-from pollenwalk.process.settings import Settings
-from pollenwalk.process.settings import read_settings
+from pollenwalk.process.settings import Settings, read_settings
 from pollenwalk.process.signals import stop_on_signals
-from starlette.applications import Starlette
-from starlette.requests import Request
-from starlette.responses import Response
-from starlette.routing import Route
-import asyncio
-import random
-import sys
 
 # The load balancer checks readiness once a second and removes a gateway after
 # two failed checks.
--- a/pollenwalk/process/keeper_daemon.py
+++ b/pollenwalk/process/keeper_daemon.py
@@ -1,15 +1,18 @@
 """Runs one keeper as a process until SIGTERM."""
 
-from loguru import logger
+import asyncio
+import sys
 from pathlib import Path
+
+from loguru import logger
+
 from pollenwalk.connection.http_server import HttpServer
 from pollenwalk.connection.tcp_network import TcpNetwork
 from pollenwalk.errors import UserError
 from pollenwalk.platform.objects import PlatformStore
 from pollenwalk.process.clock import LoopClock
 from pollenwalk.process.joining import Joining
-from pollenwalk.process.keeper import Keeper
-from pollenwalk.process.keeper import KeeperSettings
+from pollenwalk.process.keeper import Keeper, KeeperSettings
 from pollenwalk.process.keeper_state import KeeperState
 from pollenwalk.process.logs import set_up_logs
 from pollenwalk.process.metrics_page import metrics_server
@@ -17,8 +20,6 @@
 from pollenwalk.process.retirement import Retirement
 from pollenwalk.process.settings import Settings
 from pollenwalk.process.signals import stop_on_signals
-import asyncio
-import sys
 
 
 def run_keeper(settings: Settings) -> None:
