--- a/pollenwalk/process/prefix_watcher.py
+++ b/pollenwalk/process/prefix_watcher.py
@@ -1,9 +1,10 @@
-"""Following what is below a prefix of the store.
+"""Watches the objects below a prefix of the store.
 
-A watch is not enough: it may hear nothing while changes are made, or be cut
-without a word. So each watch is short enough for what depends on it, and an
-answer without changes never moves the revision that the next one starts from:
-that one is answered at once if the last has missed anything.
+A single watch is not reliable: it may stall and miss changes, or its connection
+may be cut unnoticed. Therefore each watch ends within the time in which its
+user needs to learn of a change. A watch that ends without changes does not
+advance the revision from which the next one starts, so that the next one is
+answered at once with any changes that were missed.
 """
 
 from collections.abc import Awaitable, Callable
@@ -21,16 +22,17 @@
 
 
 class WatchHandlers(NamedTuple):
-    """Who hears of what is followed.
+    """The functions that a prefix watcher calls.
 
     Attributes:
-        on_object: gets each object; it must bear one that it has seen. An object
-            that is gone comes without a body, also when it went while the
-            store could not be watched.
-        on_read: called after each answer.
-        on_unavailable: called when the store gave no answer.
-        relay: lists the prefix by way of another process while the store
-            gives no answer here; None where that can't be done either.
+        on_object: called with each new, changed or deleted object; must be
+            idempotent, as an object may be passed more than once. A deleted
+            object has an empty body, also if it was deleted while the store
+            could not be watched.
+        on_read: called after each answer of the store or of the relay.
+        on_unavailable: called each time the store did not answer.
+        relay: lists the prefix through another process while the store does
+            not answer this one; it returns None if that fails, too.
     """
 
     on_object: Callable[[StoredObject], None]
@@ -40,11 +42,14 @@
 
 
 class PrefixWatcher:
-    """Reads everything below a prefix, then each change, for ever.
+    """Reads all objects below a prefix, then watches their changes.
 
     Attributes:
-        revision: that the next watch starts from; None to list anew.
-        checked: of the store, at its last answer.
+        next_revision: revision from which the next watch starts; None if all
+            objects have to be listed.
+        answered_revision: latest revision of the store in any answer. Listings
+            of a relay that are older than this are ignored.
+        known_keys: keys of the objects that exist, to find deleted ones.
     """
 
     def __init__(
@@ -55,27 +60,27 @@
         handlers: WatchHandlers,
         wait_ms: float = WATCH_TIMEOUT_MS,
     ) -> None:
-        """Prepare to follow.
+        """Create a watcher that has not read anything.
 
         Args:
             store: the platform's store.
-            clock: paces the tries while the store is silent.
-            prefix: what to follow.
-            handlers: who hears of it.
-            wait_ms: how long a watch may stay quiet, and so the longest
-                until a change is heard of while the store answers.
+            clock: paces the retries while the store does not answer.
+            prefix: prefix of the keys to watch.
+            handlers: the functions to call.
+            wait_ms: longest duration of a watch, and thus the longest time
+                until a change is noticed while the store answers.
         """
         self.store = store
         self.clock = clock
         self.prefix = prefix
         self.handlers = handlers
         self.wait_ms = int(wait_ms)
-        self.revision: int | None = None
-        self.checked = 0
+        self.next_revision: int | None = None
+        self.answered_revision = 0
         self.known_keys: set[str] = set()
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Watch until cancelled."""
         backoff = Backoff(self.clock)
         while True:
             try:
@@ -90,48 +95,55 @@
             self.notify(changed)
 
     def notify(self, changed: list[StoredObject]) -> None:
-        """Hand over what was read."""
+        """Call the handlers for the objects that were read."""
         for stored in changed:
             self.handlers.on_object(stored)
         if self.handlers.on_read is not None:
             self.handlers.on_read()
 
     async def read_via_relay(self) -> None:
-        """List by way of another process, if there is one."""
+        """List the prefix through the relay, if there is one."""
         if self.handlers.relay is None:
             return
         listing = await self.handlers.relay(self.prefix)
-        if listing is not None and listing.revision >= self.checked:
+        if listing is not None and listing.revision >= self.answered_revision:
             self.notify(self.apply_listing(listing))
 
     async def read(self) -> list[StoredObject]:
-        """Read everything at first, then what is newer than the last read.
+        """List all objects at first; after that, wait for changes.
+
+        Returns:
+            The new, changed and deleted objects; empty if the watch ended
+            without changes.
 
         Raises:
-            StoreUnavailable: the store gave no answer.
+            StoreUnavailable: the store did not answer.
         """
-        if self.revision is None:
+        if self.next_revision is None:
             return self.apply_listing(await self.store.scan(self.prefix))
         try:
             changes = await self.store.watch(
                 self.prefix,
-                self.revision,
+                self.next_revision,
                 self.wait_ms,
             )
         except StoreHistoryGone:
-            self.revision = None
+            self.next_revision = None
             return await self.read()
-        self.checked = max(self.checked, changes.revision)
+        self.answered_revision = max(self.answered_revision, changes.revision)
         if changes.objects:
-            self.revision = max(self.revision, changes.revision)
+            self.next_revision = max(self.next_revision, changes.revision)
         for stored in changes.objects:
-            self.note_object(stored)
+            self.track_key(stored)
         return changes.objects
 
     def apply_listing(self, listing: Changes) -> list[StoredObject]:
-        """Add a deletion for each object that is no longer listed."""
-        self.revision = listing.revision
-        self.checked = max(self.checked, listing.revision)
+        """Record a listing, and return its objects and the deleted ones.
+
+        An object counts as deleted if it was known and is not listed.
+        """
+        self.next_revision = listing.revision
+        self.answered_revision = max(self.answered_revision, listing.revision)
         listed = {stored.key for stored in listing.objects}
         gone = [
             StoredObject(key, b'', listing.revision)
@@ -140,8 +152,8 @@
         self.known_keys = listed
         return [*listing.objects, *gone]
 
-    def note_object(self, stored: StoredObject) -> None:
-        """Remember whether an object is there."""
+    def track_key(self, stored: StoredObject) -> None:
+        """Add the key of an existing object, or remove that of a deleted one."""
         if stored.body:
             self.known_keys.add(stored.key)
         else:
@@ -155,5 +167,5 @@
     on_object: Callable[[StoredObject], None],
     on_read: Callable[[], None] | None = None,
 ) -> None:
-    """Follow a prefix on its own, for ever."""
+    """Watch a prefix until cancelled, with the longest watches and no relay."""
     await PrefixWatcher(store, clock, prefix, WatchHandlers(on_object, on_read)).run()
