--- a/pollenwalk/process/compaction.py
+++ b/pollenwalk/process/compaction.py
@@ -108,8 +108,8 @@
     async def delete_below(self, floor: int) -> None:
         """Delete the segments before a number."""
         while self.floor < floor:
-            if self.journal.pace is not None:
-                await self.journal.pace.turn()
+            if self.journal.write_limiter is not None:
+                await self.journal.write_limiter.turn()
             key = segment_key(self.owner.parts.incarnation, self.floor)
             await self.store.delete(key)
             self.floor += 1
--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -30,22 +30,22 @@
     record_key,
     rendezvous,
 )
+from pollenwalk.process.entry_monitor import EntryMonitor
 from pollenwalk.process.entry_service import EntryService
 from pollenwalk.process.fleet import Fleet, Location
 from pollenwalk.process.host_list import HostList, follow_hosts
 from pollenwalk.process.journal import Journal
 from pollenwalk.process.liveness import LOOK_MS, OBSERVERS, Liveness
-from pollenwalk.process.neighbours import Neighbours
-from pollenwalk.process.pacing import Pace
 from pollenwalk.process.peers import Peers
 from pollenwalk.process.program_owner import ProgramOwner
 from pollenwalk.process.recorder import Recorder
+from pollenwalk.process.report_targets import ReportTargets
 from pollenwalk.process.store import ObjectStore, create_once
-from pollenwalk.process.subsets import Subsets
 from pollenwalk.process.takeover import Takeover
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.process.traces import Tracer
 from pollenwalk.process.witness import WitnessLog
+from pollenwalk.process.write_limiter import WriteLimiter
 from pollenwalk.program.program import ProgramBook
 from pollenwalk.request.parts import Parts
 from pollenwalk.request.retry import RetryBudgets
@@ -112,12 +112,12 @@
         self.config.on_accept = self.accepted
         self.peers = Peers(network, clock, self.tasks)
         self.directory = Directory(store, clock)
-        self.subsets = Subsets(self.directory, settings.regions)
+        self.report_targets = ReportTargets(self.directory, settings.regions)
         self.liveness = Liveness(self.directory, network, clock)
         self.witness_log = WitnessLog()
         self.retries = RetryBudgets()
         self.listeners: list[Listener] = []
-        self.neighbours = Neighbours(self)
+        self.entry_monitor = EntryMonitor(self)
         self.ready = False
         self.stopping = False
         self.owner_tasks = TaskSet()
@@ -125,7 +125,7 @@
 
     async def take_over(self, dead: str) -> bool:
         """Take a dead entry over; a silent store puts it off."""
-        return await self.neighbours.take_over(dead)
+        return await self.entry_monitor.take_over(dead)
 
     @property
     def location(self) -> Location:
@@ -157,7 +157,7 @@
             self.dice,
         )
         self.journal.interval_ms = self.settings.journal_interval_ms
-        self.journal.pace = Pace(
+        self.journal.write_limiter = WriteLimiter(
             self.clock,
             self.settings.store_writes_per_second,
             lambda: len(self.directory.live()),
@@ -210,7 +210,7 @@
         self.tasks.spawn(self.acceptance.follow_verdicts(), 'verdicts')
         self.tasks.spawn(self.acceptance.follow_wishes(), 'wishes')
         self.tasks.spawn(self.acceptance.judge_wishes(self.judges), 'judge')
-        self.tasks.spawn(self.neighbours.watch_entries(), 'liveness')
+        self.tasks.spawn(self.entry_monitor.watch_entries(), 'liveness')
         self.tasks.spawn(self.register(), 'register')
         if self.hosts is not None:
             following = follow_hosts(self.hosts, self.fleet, self.clock)
@@ -279,7 +279,7 @@
 
     def reply(self, report: Report) -> None:
         """Tell a sidecar which entries there are and what is in force."""
-        entries = self.subsets.entries(report, len(self.fleet.hosts))
+        entries = self.report_targets.entries(report, len(self.fleet.hosts))
         self.fleet.interval_ms = entries.interval_ms
         if entries.digest != report.digest and entries.addresses:
             self.send(report.address, entries)
--- a/pollenwalk/process/neighbours.py
+++ b/pollenwalk/process/entry_monitor.py
@@ -14,7 +14,7 @@
 PROBE_MS = 1000
 
 
-class Neighbours:
+class EntryMonitor:
     """What one entry does about the others."""
 
     def __init__(self, entry: EntryInterface) -> None:
--- a/pollenwalk/process/entry_service.py
+++ b/pollenwalk/process/entry_service.py
@@ -29,7 +29,7 @@
 )
 from pollenwalk.process.directory import EntryRecord
 from pollenwalk.process.entry_interface import EntryInterface
-from pollenwalk.process.ids import owner_of
+from pollenwalk.process.program_ids import owner_of
 
 HANDOVER_TIMEOUT_MS = 8000
 
@@ -99,7 +99,7 @@
         try:
             if message.program:
                 return Claim(await self.entry.routing.claim_here(message))
-            return Claim(await self.owner.beginnings.claim(*message))
+            return Claim(await self.owner.program_creator.claim(*message))
         except Fenced as error:
             raise OwnerUnreachable() from error
 
--- a/pollenwalk/process/journal.py
+++ b/pollenwalk/process/journal.py
@@ -14,7 +14,6 @@
 from pollenwalk.connection.wire import WitnessAppend
 from pollenwalk.errors import Fenced, StoreUnavailable
 from pollenwalk.process.clock import Clock
-from pollenwalk.process.pacing import Pace
 from pollenwalk.process.segments import (
     Segment,
     WitnessRef,
@@ -29,6 +28,7 @@
 )
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.process.witness import PeerSource, WitnessLink
+from pollenwalk.process.write_limiter import WriteLimiter
 from pollenwalk.program.records import Record, encode_records
 
 MAX_SEGMENT_BYTES = 600_000
@@ -77,7 +77,7 @@
         self.tasks = tasks
         self.incarnation = incarnation
         self.interval_ms = 0.0
-        self.pace: Pace | None = None
+        self.write_limiter: WriteLimiter | None = None
         self.next_segment = 1
         self.next_batch = 1
         self.base = 0
@@ -163,8 +163,8 @@
             await self.work.wait()
             self.work.clear()
             while not self.fenced and self.has_work():
-                if self.pace is not None:
-                    await self.pace.turn()
+                if self.write_limiter is not None:
+                    await self.write_limiter.turn()
                 await self.write_segment(list(self.fitting()))
                 await self.clock.sleep_ms(self.interval_ms)
 
@@ -213,12 +213,12 @@
 
     def note_pace(self, took_ms: float | None) -> None:
         """Let the pace follow the store."""
-        if self.pace is None:
+        if self.write_limiter is None:
             return
         if took_ms is None:
-            self.pace.refused()
+            self.write_limiter.refused()
         else:
-            self.pace.answered(took_ms)
+            self.write_limiter.answered(took_ms)
 
     def stored(self, batches: list[Batch]) -> None:
         """Note a written segment."""
--- a/pollenwalk/process/upkeep.py
+++ b/pollenwalk/process/maintenance.py
@@ -18,7 +18,7 @@
 DROP_WAIT_MS = 2000
 
 
-class Upkeep:
+class ProgramMaintenance:
     """Keeps the programs of one home in order."""
 
     def __init__(self, owner: OwnerInterface) -> None:
--- a/pollenwalk/process/beginnings.py
+++ b/pollenwalk/process/program_creator.py
@@ -6,8 +6,8 @@
 from pollenwalk.connection.wire import BeginProgram
 from pollenwalk.errors import Refusal, RefusalCode
 from pollenwalk.policy.door import has_room
-from pollenwalk.process.ids import new_program_id
 from pollenwalk.process.owner_interface import OwnerInterface
+from pollenwalk.process.program_ids import new_program_id
 from pollenwalk.process.recorder import store_unavailable
 from pollenwalk.program.budget import Budget
 from pollenwalk.program.live import LiveProgram
@@ -21,21 +21,21 @@
 KEY_RETAIN_MS = 600_000
 
 
-class Beginning(NamedTuple):
+class PendingProgram(NamedTuple):
     """A program whose first record is on its way."""
 
     program: str
     task: asyncio.Task[None]
 
 
-class Beginnings:
+class ProgramCreator:
     """Programs that begin at one home, and keys that it settles."""
 
     def __init__(self, owner: OwnerInterface) -> None:
         """Begin programs at `home`."""
         self.owner = owner
         self.parts = owner.parts
-        self.beginning: dict[tuple[str, str], Beginning] = {}
+        self.beginning: dict[tuple[str, str], PendingProgram] = {}
         self.claiming: dict[tuple[str, str], asyncio.Task[None]] = {}
         self.claimed_ms: dict[tuple[str, str], float] = {}
 
@@ -142,7 +142,7 @@
             self.parts.dice,
         )
 
-    def begin_new(self, request: BeginProgram, spec: ProgramSpec) -> Beginning:
+    def begin_new(self, request: BeginProgram, spec: ProgramSpec) -> PendingProgram:
         """Check the limits and start recording a new program."""
         program_id = request.program or self.new_id()
         limit = min(request.budget or spec.budget_tokens, spec.budget_tokens)
@@ -157,7 +157,7 @@
             Budget(limit).ahead(spec.reserve_tokens),
             min(request.deadline_ms or spec.deadline_ms, spec.deadline_ms),
         )
-        beginning = Beginning(program_id, self.record(record))
+        beginning = PendingProgram(program_id, self.record(record))
         identity = (request.caller, request.key or program_id)
         self.beginning[identity] = beginning
         beginning.task.add_done_callback(lambda _: self.beginning.pop(identity, None))
--- a/pollenwalk/process/program_owner.py
+++ b/pollenwalk/process/program_owner.py
@@ -19,12 +19,12 @@
     RefusalCode,
     sealed,
 )
-from pollenwalk.process.beginnings import Beginnings
-from pollenwalk.process.ids import unknown_program
+from pollenwalk.process.maintenance import ProgramMaintenance
+from pollenwalk.process.program_creator import ProgramCreator
+from pollenwalk.process.program_ids import unknown_program
 from pollenwalk.process.recorder import store_unavailable
 from pollenwalk.process.recovery import Recovery
 from pollenwalk.process.tasks import TaskSet
-from pollenwalk.process.upkeep import Upkeep
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.program.program import FinishedCall, Program, ProgramBook
 from pollenwalk.program.records import (
@@ -66,22 +66,22 @@
         self.live: dict[str, LiveProgram] = {}
         self.stopping = False
         self.adopting = 0
-        self.beginnings = Beginnings(self)
+        self.program_creator = ProgramCreator(self)
         self.recovery = Recovery(self)
-        self.upkeep = Upkeep(self)
+        self.maintenance = ProgramMaintenance(self)
 
     def start(self) -> None:
         """Start the background work."""
         self.tasks.spawn(self.parts.recorder.send_settled(self.parts.peers), 'settle')
-        self.upkeep.start()
+        self.maintenance.start()
 
     def release(self, program: Program) -> Coroutine[Any, Any, None]:
         """Ask every sidecar that holds a program's memory to return it."""
-        return self.upkeep.release(program)
+        return self.maintenance.release(program)
 
     def drop_claims(self) -> None:
         """Forget keys whose retention has passed."""
-        self.beginnings.drop_claims()
+        self.program_creator.drop_claims()
 
     def find(self, program_id: str) -> LiveProgram:
         """Give a program of this home.
@@ -281,7 +281,7 @@
         if cut_short:
             records.insert(0, Forfeited(program_id))
         await self.parts.recorder.record(live, lambda: records, END_WAIT_MS)
-        self.tasks.spawn(self.upkeep.release(live.program), 'release')
+        self.tasks.spawn(self.maintenance.release(live.program), 'release')
         return live.program
 
     def children(self, program_id: str) -> list[Program]:
--- a/pollenwalk/process/subsets.py
+++ b/pollenwalk/process/report_targets.py
@@ -19,7 +19,7 @@
 DIGEST_BYTES = 4
 
 
-class Subsets:
+class ReportTargets:
     """Answers reports with the entries to report to."""
 
     def __init__(self, directory: Directory, regions: dict[str, str]) -> None:
--- a/pollenwalk/process/pacing.py
+++ b/pollenwalk/process/write_limiter.py
@@ -17,7 +17,7 @@
 CUT = 0.5
 
 
-class Pace:
+class WriteLimiter:
     """A token bucket whose rate follows the store and the fleet."""
 
     def __init__(
--- a/pollenwalk/request/routing.py
+++ b/pollenwalk/request/routing.py
@@ -29,7 +29,7 @@
 )
 from pollenwalk.process.directory import Directory, EntryRecord, rendezvous
 from pollenwalk.process.fleet import Location
-from pollenwalk.process.ids import owner_of, unknown_program
+from pollenwalk.process.program_ids import owner_of, unknown_program
 from pollenwalk.process.program_owner import ProgramOwner
 from pollenwalk.process.witness import PeerSource
 from pollenwalk.program.view import view_call, view_program
@@ -110,7 +110,7 @@
 
     async def begin_by_key(self, request: BeginProgram) -> View:
         """Begin here, or give what the same key began anywhere before."""
-        proposed = self.owner.beginnings.new_id(self.best_owner(request))
+        proposed = self.owner.program_creator.new_id(self.best_owner(request))
         if not request.key:
             return await self.at_owner(proposed, request._replace(program=proposed))
         program_id = await self.claim(request, proposed)
@@ -134,7 +134,7 @@
             return self.incarnation
         region = max(sorted(regions), key=regions.__getitem__)
         names = [record.incarnation for record in self.directory.live(region)]
-        ranked = rendezvous(request.key or self.owner.beginnings.new_id(), names)
+        ranked = rendezvous(request.key or self.owner.program_creator.new_id(), names)
         return ranked[0] if ranked else self.incarnation
 
     async def claim(self, request: BeginProgram, proposed: str) -> str:
@@ -179,7 +179,7 @@
         if identity not in self.owner.book.claims:
             earlier = await self.claimed_before(message)
             message = message._replace(program=earlier or message.program)
-        return await self.owner.beginnings.claim(*message)
+        return await self.owner.program_creator.claim(*message)
 
     async def claimed_before(self, message: ClaimKey) -> str:
         """Ask the entries that owned the key before this one joined."""
@@ -290,7 +290,7 @@
     async def answer(self, message: Any) -> View:
         """Answer a question about a program of this home."""
         if isinstance(message, BeginProgram):
-            return View(view_program(await self.owner.beginnings.begin(message)))
+            return View(view_program(await self.owner.program_creator.begin(message)))
         if isinstance(message, EndProgram):
             return View(view_program(await self.owner.end(message.program)))
         live = self.owner.find(message.program)
--- a/test/process/test_limits.py
+++ b/test/process/test_limits.py
@@ -11,9 +11,9 @@
     encode_record,
     record_key,
 )
-from pollenwalk.process.pacing import Pace
+from pollenwalk.process.report_targets import TARGETS, ReportTargets, interval
 from pollenwalk.process.store import ABSENT
-from pollenwalk.process.subsets import TARGETS, Subsets, interval
+from pollenwalk.process.write_limiter import WriteLimiter
 from pollenwalk.request.retry import MAX_SAVED_RETRIES, RetryBudget, pause_ms
 from standin.store import MemoryStore
 from test.helper import make_clock, virtual
@@ -27,35 +27,35 @@
     @virtual
     async def test_keeps_to_its_share(self) -> None:
         clock = make_clock()
-        pace = Pace(clock, 200, lambda: 4)
+        write_limiter = WriteLimiter(clock, 200, lambda: 4)
         for _ in range(150):
-            await pace.turn()
+            await write_limiter.turn()
         begun_ms = clock.now_ms()
         for _ in range(100):
-            await pace.turn()
+            await write_limiter.turn()
         self.assertAlmostEqual(2000, clock.now_ms() - begun_ms, delta=30)
 
     @virtual
     async def test_saves_for_a_burst(self) -> None:
         clock = make_clock()
-        pace = Pace(clock, 200, lambda: 4)
+        write_limiter = WriteLimiter(clock, 200, lambda: 4)
         await clock.sleep_ms(60_000)
         begun_ms = clock.now_ms()
         for _ in range(90):
-            await pace.turn()
+            await write_limiter.turn()
         self.assertEqual(begun_ms, clock.now_ms())
 
     @virtual
     async def test_gives_way_and_comes_back(self) -> None:
-        pace = Pace(make_clock(), 200, lambda: 4)
+        write_limiter = WriteLimiter(make_clock(), 200, lambda: 4)
         for _ in range(20):
-            pace.refused()
-        self.assertAlmostEqual(2.5, pace.rate)
+            write_limiter.refused()
+        self.assertAlmostEqual(2.5, write_limiter.rate)
         for _ in range(60):
-            pace.answered(5)
-        self.assertAlmostEqual(50, pace.rate)
-        pace.answered(5000)
-        self.assertAlmostEqual(25, pace.rate)
+            write_limiter.answered(5)
+        self.assertAlmostEqual(50, write_limiter.rate)
+        write_limiter.answered(5000)
+        self.assertAlmostEqual(25, write_limiter.rate)
 
 
 class RetryTest(testtools.TestCase):
@@ -110,15 +110,15 @@
 
     @virtual
     async def test_few_entries_hear_everybody(self) -> None:
-        subsets = Subsets(await self.make(5), REGIONS)
-        self.assertEqual(5, len(subsets.entries(self.report(1), 10).addresses))
+        report_targets = ReportTargets(await self.make(5), REGIONS)
+        self.assertEqual(5, len(report_targets.entries(self.report(1), 10).addresses))
 
     @virtual
     async def test_many_entries_share_the_sidecars(self) -> None:
-        subsets = Subsets(await self.make(40), REGIONS)
+        report_targets = ReportTargets(await self.make(40), REGIONS)
         heard: dict[str, int] = {}
         for number in range(1000):
-            chosen = subsets.entries(self.report(number), 100).addresses
+            chosen = report_targets.entries(self.report(number), 100).addresses
             self.assertEqual(TARGETS, len(chosen))
             for address in chosen:
                 heard[address] = heard.get(address, 0) + 1
@@ -128,16 +128,16 @@
     @virtual
     async def test_little_changes_when_an_entry_goes(self) -> None:
         directory = await self.make(40)
-        subsets = Subsets(directory, REGIONS)
+        report_targets = ReportTargets(directory, REGIONS)
         before = {
-            number: set(subsets.entries(self.report(number), 100).addresses)
+            number: set(report_targets.entries(self.report(number), 100).addresses)
             for number in range(500)
         }
         gone = directory.records['e7']._replace(successor='e8')
         await directory.store.put(record_key('e7'), encode_record(gone), None)
         await directory.refresh()
         for number, addresses in before.items():
-            after = set(subsets.entries(self.report(number), 100).addresses)
+            after = set(report_targets.entries(self.report(number), 100).addresses)
             self.assertEqual(addresses - {'e7:1'}, addresses & after)
 
     def test_interval_bounds_what_an_entry_hears(self) -> None:
