--- a/pollenwalk/process/adoption.py
+++ b/pollenwalk/process/adoption.py
@@ -107,7 +107,7 @@
         try:
             stored = await self.store.get(record_key(dead))
             if stored is not None:
-                self.directory.take(await self.with_successor(stored))
+                self.directory.apply(await self.with_successor(stored))
         except (StoreConflict, StoreUnavailable):
             return False
         return True
--- a/pollenwalk/process/directory.py
+++ b/pollenwalk/process/directory.py
@@ -80,19 +80,19 @@
         self.clock = clock
         self.records: dict[str, EntryRecord] = {}
         self.versions: dict[str, int] = {}
-        self.changes = 0
+        self.change_count = 0
 
     async def follow(self) -> None:
         """Keep the view current for as long as the process lives."""
-        await follow(self.store, self.clock, PREFIX, self.take)
+        await follow(self.store, self.clock, PREFIX, self.apply)
 
-    def take(self, stored: StoredObject) -> None:
+    def apply(self, stored: StoredObject) -> None:
         """Note a record unless a newer one is known."""
         incarnation = stored.key.removeprefix(PREFIX)
         if self.versions.get(incarnation, 0) >= stored.version:
             return
         self.versions[incarnation] = stored.version
-        self.changes += 1
+        self.change_count += 1
         if stored.body:
             self.records[incarnation] = decode_record(stored.body)
         else:
@@ -102,7 +102,7 @@
         """Read all records now; raises `StoreUnavailable`."""
         changes = await self.store.scan(PREFIX)
         for stored in changes.objects:
-            self.take(stored)
+            self.apply(stored)
 
     def resolve_owner(self, incarnation: str) -> EntryRecord | None:
         """Follow the successors of an incarnation to the present owner."""
@@ -113,7 +113,7 @@
             record = self.records.get(record.successor)
         return None
 
-    def live(self, region: str = '') -> list[EntryRecord]:
+    def live_entries(self, region: str = '') -> list[EntryRecord]:
         """Give the entries that nobody has taken over."""
         return [
             record
@@ -128,7 +128,7 @@
             return []
         others = {
             record.incarnation: record
-            for record in self.live()
+            for record in self.live_entries()
             if record.incarnation != incarnation
         }
         ranked = rendezvous(incarnation, others)
@@ -146,7 +146,7 @@
             return []
         others = {
             record.incarnation: record
-            for record in self.live()
+            for record in self.live_entries()
             if record.incarnation != incarnation
         }
         ranked = sorted(
--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -160,7 +160,7 @@
         self.journal.write_limiter = WriteLimiter(
             self.clock,
             self.settings.store_writes_per_second,
-            lambda: len(self.directory.live()),
+            lambda: len(self.directory.live_entries()),
         )
         self.journal.peers = self.peers.at
         self.journal.on_fenced = self.fenced
@@ -260,7 +260,7 @@
 
     def judges(self) -> bool:
         """Tell whether this entry is the one that judges wishes."""
-        names = [record.incarnation for record in self.directory.live()]
+        names = [record.incarnation for record in self.directory.live_entries()]
         ranked = rendezvous(JUDGE, names)
         return bool(ranked) and ranked[0] == self.incarnation
 
@@ -326,7 +326,7 @@
             return
         if self.directory.observers(self.incarnation, 1):
             # What is under way shall arrive before the successor begins.
-            self.journal.closing = True
+            self.journal.handing_over = True
             await self.clock.sleep_ms(HANDOVER_GRACE_MS)
         until_ms = self.clock.now_ms() + HANDOVER_PATIENCE_MS
         while self.clock.now_ms() < until_ms:
@@ -337,7 +337,7 @@
                 if await self.service.ask_handover(other):
                     return
             await self.clock.sleep_ms(LOOK_MS)
-        self.journal.closing = False
+        self.journal.handing_over = False
         self.owner.stopping = True
 
     async def close(self) -> None:
--- a/pollenwalk/process/entry_monitor.py
+++ b/pollenwalk/process/entry_monitor.py
@@ -40,7 +40,7 @@
         """Give earlier incarnations at our own address; they are dead."""
         return [
             record
-            for record in self.entry.directory.live()
+            for record in self.entry.directory.live_entries()
             if record.address == self.entry.settings.address
             and record.incarnation != self.entry.incarnation
         ]
--- a/pollenwalk/process/journal.py
+++ b/pollenwalk/process/journal.py
@@ -87,10 +87,10 @@
         self.work = asyncio.Event()
         self.witnessing = asyncio.Event()
         self.fenced = False
-        self.closing = False
+        self.handing_over = False
         self.confirmed_ms = float('-inf')
         self.wanted: list[WitnessRef] = []
-        self.effective: list[WitnessRef] = []
+        self.effective_witnesses: list[WitnessRef] = []
         self.proposed: list[WitnessRef] = []
         self.links: dict[WitnessRef, WitnessLink] = {}
         self.on_fenced: Callable[[], None] = lambda: None
@@ -124,7 +124,7 @@
         await self.commit([])
 
     @property
-    def fresh(self) -> bool:
+    def recently_confirmed(self) -> bool:
         """Tell whether the last proof is younger than any takeover can be.
 
         This rests on the clock and so guards nothing that must not happen:
@@ -170,7 +170,7 @@
 
     def has_work(self) -> bool:
         """Tell whether a segment is due."""
-        return bool(self.pending) or self.wanted != self.effective
+        return bool(self.pending) or self.wanted != self.effective_witnesses
 
     def fitting(self) -> Iterable[Batch]:
         """Give pending batches up to a segment's size, at least one."""
@@ -226,7 +226,7 @@
         self.segments_written += 1
         self.base += len(batches)
         self.pending = [one for one in self.pending if one.number > self.base]
-        self.effective = self.proposed
+        self.effective_witnesses = self.proposed
         self.settle(batches)
         self.link_witnesses()
 
@@ -255,11 +255,11 @@
     def link_witnesses(self) -> None:
         """Start sending to new witnesses and stop sending to old ones."""
         for ref in list(self.links):
-            if ref not in self.effective:
+            if ref not in self.effective_witnesses:
                 self.links.pop(ref)
         if self.peers is None:
             return
-        for ref in self.effective:
+        for ref in self.effective_witnesses:
             if ref not in self.links:
                 link = WitnessLink(ref, self.peers(ref.address))
                 self.links[ref] = link
@@ -286,7 +286,7 @@
 
     def acknowledge(self) -> None:
         """Settle the batches that every required witness holds."""
-        required = dict.fromkeys([*self.effective, *self.proposed])
+        required = dict.fromkeys([*self.effective_witnesses, *self.proposed])
         links = [self.links.get(ref) for ref in required]
         if not links or not all(links):
             return
--- a/pollenwalk/process/liveness.py
+++ b/pollenwalk/process/liveness.py
@@ -57,7 +57,7 @@
         """Give the entries that this one should take over."""
         return [
             record
-            for record in self.directory.live()
+            for record in self.directory.live_entries()
             if record.incarnation != own.incarnation and self.is_silent(record, own)
         ]
 
--- a/pollenwalk/process/program_owner.py
+++ b/pollenwalk/process/program_owner.py
@@ -126,11 +126,11 @@
             async for item in self.answer(request):
                 yield item
         except Refusal as refusal:
-            if await self.vouches(refusal, request):
+            if await self.verify_not_run(refusal, request):
                 raise
             raise doubted(refusal) from refusal
 
-    async def vouches(self, refusal: Refusal, request: CallProgram) -> bool:
+    async def verify_not_run(self, refusal: Refusal, request: CallProgram) -> bool:
         """Tell whether a refusal's 'not run' is surely true.
 
         A successor may have run the very call that is refused here, or an
@@ -146,9 +146,9 @@
         repeatable = upstream is not None and (request.operation in upstream.idempotent)
         if repeatable and live is not None and live.may_have_run(request):
             return False
-        return await self.confirmed()
+        return await self.confirm_ownership()
 
-    async def confirmed(self) -> bool:
+    async def confirm_ownership(self) -> bool:
         """Tell whether this home surely still owns its programs.
 
         Raises:
--- a/pollenwalk/process/report_targets.py
+++ b/pollenwalk/process/report_targets.py
@@ -39,9 +39,9 @@
         Returns:
             What to send it, unless the report's digest is the same.
         """
-        if self.counted != self.directory.changes:
+        if self.counted != self.directory.change_count:
             self.chosen.clear()
-            self.counted = self.directory.changes
+            self.counted = self.directory.change_count
         addresses = self.chosen.get(report.sidecar)
         if addresses is None:
             addresses = self.choose(report)
@@ -53,7 +53,7 @@
 
     def choose(self, report: Report) -> list[str]:
         """Rank the entries for one sidecar."""
-        live = {record.incarnation: record for record in self.directory.live()}
+        live = {record.incarnation: record for record in self.directory.live_entries()}
         if len(live) <= FEW:
             return sorted(record.address for record in live.values())
         region = self.regions.get(report.zone, '')
--- a/pollenwalk/process/takeover.py
+++ b/pollenwalk/process/takeover.py
@@ -34,7 +34,7 @@
 WITNESS_PAUSE_MS = 500
 
 
-class Sealed(NamedTuple):
+class SealedJournal(NamedTuple):
     """A journal that nobody writes to any more."""
 
     content: JournalContent
@@ -123,12 +123,12 @@
         stored = await self.store.get(record_key(dead))
         return stored is None or not decode_record(stored.body).successor
 
-    async def read_sealed(self, dead: str) -> Sealed:
+    async def read_sealed(self, dead: str) -> SealedJournal:
         """Read a sealed journal and what its witnesses hold beyond it."""
         content = await read_journal(self.store, dead)
         witnesses = content.witnesses
         if not witnesses:
-            return Sealed(content, [], tail_lost=False)
+            return SealedJournal(content, [], tail_lost=False)
         message = WitnessSeal(dead, content.last_batch)
         until_ms = self.clock.now_ms() + WITNESS_PATIENCE_MS
         while True:
@@ -137,10 +137,10 @@
                 break
             if self.clock.now_ms() > until_ms:
                 logger.error('journal_tail_lost', dead=dead)
-                return Sealed(content, [], tail_lost=True)
+                return SealedJournal(content, [], tail_lost=True)
             await self.clock.sleep_ms(WITNESS_PAUSE_MS)
         records = [record for batch in held.batches for record in decode_records(batch)]
-        return Sealed(content, records, tail_lost=False)
+        return SealedJournal(content, records, tail_lost=False)
 
     async def seal_any(
         self,
@@ -157,7 +157,7 @@
         return None
 
 
-def replay(sealed: Sealed) -> ProgramBook:
+def replay(sealed: SealedJournal) -> ProgramBook:
     """Rebuild the programs of a sealed journal.
 
     Programs that were being adopted from a third journal count only when
@@ -186,7 +186,7 @@
     program.uncertain = program.uncertain or tail_lost
 
 
-def adopted_incarnations(sealed: Sealed) -> set[str]:
+def adopted_incarnations(sealed: SealedJournal) -> set[str]:
     """Give the incarnations whose programs a journal has adopted."""
     return {
         record.incarnation for record in sealed.records() if isinstance(record, Adopted)
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -65,7 +65,7 @@
             self.call.left_ms(),
         )
         while True:
-            if self.parts.recorder.journal.closing:
+            if self.parts.recorder.journal.handing_over:
                 raise Fenced('this home is about to be handed over')
             if self.parts.clock.now_ms() >= until_ms:
                 raise Refusal(
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -64,7 +64,7 @@
         Raises:
             Refusal: the call did not run and takes no place in the order.
         """
-        if not self.parts.recorder.journal.fresh:
+        if not self.parts.recorder.journal.recently_confirmed:
             await self.confirm()
         if self.request.operation not in self.spec.idempotent:
             return await self.run_once()
--- a/pollenwalk/request/routing.py
+++ b/pollenwalk/request/routing.py
@@ -133,7 +133,7 @@
         if not regions or regions[own] == max(regions.values()):
             return self.incarnation
         region = max(sorted(regions), key=regions.__getitem__)
-        names = [record.incarnation for record in self.directory.live(region)]
+        names = [record.incarnation for record in self.directory.live_entries(region)]
         ranked = rendezvous(request.key or self.owner.program_creator.new_id(), names)
         return ranked[0] if ranked else self.incarnation
 
@@ -294,7 +294,7 @@
         if isinstance(message, EndProgram):
             return View(view_program(await self.owner.end(message.program)))
         live = self.owner.find(message.program)
-        confirmed = await self.owner.confirmed()
+        confirmed = await self.owner.confirm_ownership()
         if isinstance(message, ViewCall):
             return View(view_call(live, message.key))
         return View(view_program(live.program, confirmed=confirmed))
--- a/standin/scenario/runner.py
+++ b/standin/scenario/runner.py
@@ -135,7 +135,7 @@
     def witness(self, program_id: str, number: int) -> str:
         """Give a witness of a program's home, counted from 1."""
         owner = self.world.entries[self.world.owner_of(program_id)]
-        address = owner.entry.journal.effective[number - 1].address
+        address = owner.entry.journal.effective_witnesses[number - 1].address
         return address.partition(':')[0]
 
     def sidecar_with(self, program_id: str) -> str:
--- a/test/test_broken.py
+++ b/test/test_broken.py
@@ -16,7 +16,7 @@
 from pollenwalk.process.grants import Grants
 from pollenwalk.process.program_owner import ProgramOwner
 from pollenwalk.process.sidecar_calls import Sessions
-from pollenwalk.process.takeover import Sealed, Takeover
+from pollenwalk.process.takeover import SealedJournal, Takeover
 from pollenwalk.program.budget import Budget
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.request.dispatch import Resolver
@@ -48,16 +48,16 @@
     return self.successor
 
 
-async def read_without_witness(self: Takeover, dead: str) -> Sealed:
+async def read_without_witness(self: Takeover, dead: str) -> SealedJournal:
     """Read the store alone."""
     sealed = await whole_read(self, dead)
-    return Sealed(sealed.content, [], tail_lost=False)
+    return SealedJournal(sealed.content, [], tail_lost=False)
 
 
 whole_read = Takeover.read_sealed
 
 
-async def always_vouch(self: ProgramOwner, refusal: Any, request: Any) -> bool:
+async def always_verified(self: ProgramOwner, refusal: Any, request: Any) -> bool:
     """Let every 'not run' pass."""
     return True
 
@@ -108,8 +108,8 @@
     Break(
         "'not run' without proof",
         ProgramOwner,
-        'vouches',
-        always_vouch,
+        'verify_not_run',
+        always_verified,
         'sealed_home_is_asked_again',
     ),
     Break(
