--- a/pollenwalk/process/compaction.py
+++ b/pollenwalk/process/compaction.py
@@ -109,7 +109,7 @@
         """Delete the segments before a number."""
         while self.floor < floor:
             if self.journal.write_limiter is not None:
-                await self.journal.write_limiter.turn()
+                await self.journal.write_limiter.acquire()
             key = segment_key(self.owner.parts.incarnation, self.floor)
             await self.store.delete(key)
             self.floor += 1
--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -35,7 +35,7 @@
 from pollenwalk.process.fleet import Fleet, Location
 from pollenwalk.process.host_list import HostList, follow_hosts
 from pollenwalk.process.journal import Journal
-from pollenwalk.process.liveness import LOOK_MS, OBSERVERS, Liveness
+from pollenwalk.process.liveness import CHECK_INTERVAL_MS, OBSERVERS, Liveness
 from pollenwalk.process.peers import Peers
 from pollenwalk.process.program_owner import ProgramOwner
 from pollenwalk.process.recorder import Recorder
@@ -54,11 +54,11 @@
 from pollenwalk.version.resources import Kind, ResourceId
 
 ID_BITS = 48
-HANDOVER_PATIENCE_MS = 10_000
+HANDOVER_DEADLINE_MS = 10_000
 HANDOVER_GRACE_MS = 150
-DRAIN_CHECK_MS = 20
-DRAIN_PATIENCE_MS = 120_000
-JUDGE = 'judge'
+POLL_MS = 20
+DRAIN_TIMEOUT_MS = 120_000
+ACCEPTANCE_KEY = 'judge'
 
 
 class EntrySettings(NamedTuple):
@@ -109,7 +109,7 @@
         self.config = Configuration()
         self.acceptance = Acceptance(store, clock, self.config)
         self.fleet = Fleet(clock, settings.regions)
-        self.config.on_accept = self.accepted
+        self.config.on_accept = self.push_upstream_config
         self.peers = Peers(network, clock, self.tasks)
         self.directory = Directory(store, clock)
         self.report_targets = ReportTargets(self.directory, settings.regions)
@@ -121,7 +121,7 @@
         self.ready = False
         self.stopping = False
         self.owner_tasks = TaskSet()
-        self.incarnate()
+        self.start_incarnation()
 
     async def take_over(self, dead: str) -> bool:
         """Take a dead entry over; a silent store puts it off."""
@@ -134,7 +134,7 @@
         return Location(zone, self.settings.regions.get(zone, ''))
 
     @property
-    def own(self) -> EntryRecord:
+    def own_record(self) -> EntryRecord:
         """Give this entry's record as written at its start."""
         return EntryRecord(
             self.incarnation,
@@ -144,7 +144,7 @@
             self.started_ms,
         )
 
-    def incarnate(self) -> None:
+    def start_incarnation(self) -> None:
         """Begin a new incarnation with no programs."""
         self.incarnation = f'{self.dice.getrandbits(ID_BITS):012x}'
         self.started_ms = self.clock.wall_ms()
@@ -163,7 +163,7 @@
             lambda: len(self.directory.live_entries()),
         )
         self.journal.peers = self.peers.at
-        self.journal.on_fenced = self.fenced
+        self.journal.on_fenced = self.leave_to_successor
         book = ProgramBook()
         recorder = Recorder(self.journal, book, self.clock, self.owner_tasks)
         parts = Parts(
@@ -204,12 +204,12 @@
         address = self.settings.address
         self.listeners = [
             await self.network.listen(address, self.serve),
-            await self.network.bind(address, self.datagram),
+            await self.network.bind(address, self.handle_datagram),
         ]
         self.tasks.spawn(self.directory.follow(), 'directory')
         self.tasks.spawn(self.acceptance.follow_verdicts(), 'verdicts')
         self.tasks.spawn(self.acceptance.follow_wishes(), 'wishes')
-        self.tasks.spawn(self.acceptance.judge_wishes(self.judges), 'judge')
+        self.tasks.spawn(self.acceptance.judge_wishes(self.decides_acceptance), 'judge')
         self.tasks.spawn(self.entry_monitor.watch_entries(), 'liveness')
         self.tasks.spawn(self.register(), 'register')
         if self.hosts is not None:
@@ -222,49 +222,49 @@
 
     async def register(self) -> None:
         """Write this incarnation's record, then be home to programs."""
-        own = self.own
-        key = record_key(own.incarnation)
-        await create_once(self.store, self.clock, key, encode_record(own))
-        while own.incarnation not in self.directory.records:
+        own_record = self.own_record
+        key = record_key(own_record.incarnation)
+        await create_once(self.store, self.clock, key, encode_record(own_record))
+        while own_record.incarnation not in self.directory.records:
             await self.try_refresh()
         while not self.acceptance.synced:
-            await self.clock.sleep_ms(DRAIN_CHECK_MS)
+            await self.clock.sleep_ms(POLL_MS)
         self.journal.start()
         self.compaction.start()
         self.owner.start()
         self.ready = True
-        logger.info('entry_ready', incarnation=own.incarnation)
+        logger.info('entry_ready', incarnation=own_record.incarnation)
 
     async def try_refresh(self) -> None:
         """Read the directory once; a silent store is asked again later."""
         try:
             await self.directory.refresh()
         except StoreUnavailable:
-            await self.clock.sleep_ms(LOOK_MS)
+            await self.clock.sleep_ms(CHECK_INTERVAL_MS)
 
-    def fenced(self) -> None:
+    def leave_to_successor(self) -> None:
         """Go on as a new incarnation: a successor has our programs."""
         self.ready = False
         self.owner.abandon()
         if not self.stopping:
-            self.tasks.spawn(self.reincarnate(), 'reincarnate')
+            self.tasks.spawn(self.restart_incarnation(), 'reincarnate')
 
-    async def reincarnate(self) -> None:
+    async def restart_incarnation(self) -> None:
         """Leave the old programs to their successor and register anew."""
         old_tasks = self.owner_tasks
         self.owner_tasks = TaskSet()
         await self.server.close()
-        self.incarnate()
+        self.start_incarnation()
         await self.register()
         await old_tasks.cancel()
 
-    def judges(self) -> bool:
+    def decides_acceptance(self) -> bool:
         """Tell whether this entry is the one that judges wishes."""
         names = [record.incarnation for record in self.directory.live_entries()]
-        ranked = rendezvous(JUDGE, names)
+        ranked = rendezvous(ACCEPTANCE_KEY, names)
         return bool(ranked) and ranked[0] == self.incarnation
 
-    def datagram(self, payload: bytes, sender: str) -> None:
+    def handle_datagram(self, payload: bytes, sender: str) -> None:
         """Take a report or a heartbeat; noise is dropped."""
         try:
             message = decode_datagram(payload)
@@ -272,14 +272,14 @@
             logger.debug('datagram_dropped', sender=sender, reason=refusal.message)
             return
         if isinstance(message, Beat):
-            self.liveness.heard(message.incarnation)
+            self.liveness.record_alive(message.incarnation)
         elif isinstance(message, Report):
             self.fleet.take(message)
-            self.reply(message)
+            self.reply_to_report(message)
 
-    def reply(self, report: Report) -> None:
+    def reply_to_report(self, report: Report) -> None:
         """Tell a sidecar which entries there are and what is in force."""
-        entries = self.report_targets.entries(report, len(self.fleet.hosts))
+        entries = self.report_targets.entries_for(report, len(self.fleet.hosts))
         self.fleet.interval_ms = entries.interval_ms
         if entries.digest != report.digest and entries.addresses:
             self.send(report.address, entries)
@@ -294,7 +294,7 @@
                 UpstreamConfig(accepted.name, accepted.version, accepted.spec),
             )
 
-    def accepted(self, accepted: Accepted) -> None:
+    def push_upstream_config(self, accepted: Accepted) -> None:
         """Send a newer declaration to its upstream's hosts at once.
 
         A lost datagram is made up for by the next report.
@@ -315,9 +315,9 @@
         """Stop gracefully: hand the programs over, finish what is open."""
         self.stopping = True
         await self.hand_over()
-        until_ms = self.clock.now_ms() + DRAIN_PATIENCE_MS
+        until_ms = self.clock.now_ms() + DRAIN_TIMEOUT_MS
         while self.routing.open_requests and self.clock.now_ms() < until_ms:
-            await self.clock.sleep_ms(DRAIN_CHECK_MS)
+            await self.clock.sleep_ms(POLL_MS)
         await self.close()
 
     async def hand_over(self) -> None:
@@ -328,7 +328,7 @@
             # What is under way shall arrive before the successor begins.
             self.journal.handing_over = True
             await self.clock.sleep_ms(HANDOVER_GRACE_MS)
-        until_ms = self.clock.now_ms() + HANDOVER_PATIENCE_MS
+        until_ms = self.clock.now_ms() + HANDOVER_DEADLINE_MS
         while self.clock.now_ms() < until_ms:
             others = self.directory.observers(self.incarnation, OBSERVERS)
             if not others:
@@ -336,7 +336,7 @@
             for other in others:
                 if await self.service.ask_handover(other):
                     return
-            await self.clock.sleep_ms(LOOK_MS)
+            await self.clock.sleep_ms(CHECK_INTERVAL_MS)
         self.journal.handing_over = False
         self.owner.stopping = True
 
--- a/pollenwalk/process/entry_interface.py
+++ b/pollenwalk/process/entry_interface.py
@@ -15,7 +15,7 @@
 from pollenwalk.request.routing import Routing
 
 
-class EntryPlace(Protocol):
+class MonitorSettings(Protocol):
     """The settings of an entry that its neighbours matter for."""
 
     address: str
@@ -31,7 +31,7 @@
         stopping: whether it hands its programs over.
     """
 
-    settings: EntryPlace
+    settings: MonitorSettings
     incarnation: str
     ready: bool
     stopping: bool
@@ -48,7 +48,7 @@
     witness_log: WitnessLog
 
     @property
-    def own(self) -> EntryRecord:
+    def own_record(self) -> EntryRecord:
         """Give this entry's record as written at its start."""
 
     async def take_over(self, dead: str) -> bool:
--- a/pollenwalk/process/entry_monitor.py
+++ b/pollenwalk/process/entry_monitor.py
@@ -6,12 +6,12 @@
 from pollenwalk.errors import Fenced, PollenwalkError, StoreUnavailable
 from pollenwalk.process.directory import EntryRecord
 from pollenwalk.process.entry_interface import EntryInterface
-from pollenwalk.process.liveness import LOOK_MS
+from pollenwalk.process.liveness import CHECK_INTERVAL_MS
 from pollenwalk.process.segments import WitnessRef
 
 FORGET_SILENT_MS = 60_000
-PROBES = 2
-PROBE_MS = 1000
+PROBE_ATTEMPTS = 2
+PROBE_TIMEOUT_MS = 1000
 
 
 class EntryMonitor:
@@ -25,18 +25,18 @@
     async def watch_entries(self) -> None:
         """Send heartbeats and take over the dead, as long as we live."""
         while True:
-            self.entry.liveness.notice_own_pause()
+            self.entry.liveness.reset_after_pause()
             if self.entry.ready:
-                self.entry.liveness.beat(self.entry.own)
+                self.entry.liveness.send_heartbeat(self.entry.own_record)
                 self.choose_witnesses()
-                for record in self.entry.liveness.suspects(self.entry.own):
-                    self.suspect(record)
-                for record in self.forerunners():
-                    self.suspect(record)
+                for record in self.entry.liveness.silent_entries(self.entry.own_record):
+                    self.start_probe(record)
+                for record in self.predecessors():
+                    self.start_probe(record)
             self.entry.fleet.forget_silent(FORGET_SILENT_MS)
-            await self.entry.clock.sleep_ms(LOOK_MS)
+            await self.entry.clock.sleep_ms(CHECK_INTERVAL_MS)
 
-    def forerunners(self) -> list[EntryRecord]:
+    def predecessors(self) -> list[EntryRecord]:
         """Give earlier incarnations at our own address; they are dead."""
         return [
             record
@@ -58,29 +58,29 @@
         usable = [ref for ref in refs if ref not in failed][:count]
         self.entry.journal.want_witnesses(usable if len(usable) == count else [])
 
-    def suspect(self, record: EntryRecord) -> None:
+    def start_probe(self, record: EntryRecord) -> None:
         """Start looking into a silent entry, once at a time."""
         if record.incarnation in self.taking_over or self.entry.stopping:
             return
         self.taking_over[record.incarnation] = None
-        self.entry.tasks.spawn(self.look_into(record), 'takeover')
+        self.entry.tasks.spawn(self.probe_and_take_over(record), 'takeover')
 
-    async def look_into(self, record: EntryRecord) -> None:
+    async def probe_and_take_over(self, record: EntryRecord) -> None:
         """Take a silent entry over unless it answers."""
         try:
-            if await self.answers(record):
-                self.entry.liveness.heard(record.incarnation)
+            if await self.is_alive(record):
+                self.entry.liveness.record_alive(record.incarnation)
                 return
             logger.warning('entry_silent', incarnation=record.incarnation)
             await self.take_over(record.incarnation)
         finally:
             self.taking_over.pop(record.incarnation, None)
 
-    async def answers(self, record: EntryRecord) -> bool:
+    async def is_alive(self, record: EntryRecord) -> bool:
         """Tell whether this very incarnation still answers."""
         if record.address == self.entry.settings.address:
             return False
-        for _ in range(PROBES):
+        for _ in range(PROBE_ATTEMPTS):
             boot = await self.probe(record.address)
             if boot:
                 return boot == record.incarnation
@@ -93,7 +93,7 @@
         """
         peer = self.entry.peers.at(address)
         try:
-            await peer.ask(Beat(self.entry.incarnation, 0), PROBE_MS)
+            await peer.ask(Beat(self.entry.incarnation, 0), PROBE_TIMEOUT_MS)
             return (await peer.connected()).boot
         except PollenwalkError:
             return ''
--- a/pollenwalk/process/journal.py
+++ b/pollenwalk/process/journal.py
@@ -164,7 +164,7 @@
             self.work.clear()
             while not self.fenced and self.has_work():
                 if self.write_limiter is not None:
-                    await self.write_limiter.turn()
+                    await self.write_limiter.acquire()
                 await self.write_segment(list(self.fitting()))
                 await self.clock.sleep_ms(self.interval_ms)
 
@@ -205,20 +205,20 @@
             try:
                 ours = await create_or_compare(self.store, key, body)
             except StoreUnavailable:
-                self.note_pace(None)
+                self.adjust_write_limit(None)
                 await backoff.pause()
                 continue
-            self.note_pace(self.clock.now_ms() - begun_ms)
+            self.adjust_write_limit(self.clock.now_ms() - begun_ms)
             return ours
 
-    def note_pace(self, took_ms: float | None) -> None:
+    def adjust_write_limit(self, took_ms: float | None) -> None:
         """Let the pace follow the store."""
         if self.write_limiter is None:
             return
         if took_ms is None:
-            self.write_limiter.refused()
+            self.write_limiter.record_failure()
         else:
-            self.write_limiter.answered(took_ms)
+            self.write_limiter.record_answer(took_ms)
 
     def stored(self, batches: list[Batch]) -> None:
         """Note a written segment."""
--- a/pollenwalk/process/report_targets.py
+++ b/pollenwalk/process/report_targets.py
@@ -10,12 +10,12 @@
 from pollenwalk.connection.wire import Entries, Report
 from pollenwalk.process.directory import Directory, EntryRecord, rendezvous
 
-FEW = 8
-TARGETS = 4
-SHORTEST_MS = 1000
-LONGEST_MS = 10_000
+ALL_ENTRIES_LIMIT = 8
+MAX_TARGETS = 4
+MIN_INTERVAL_MS = 1000
+MAX_INTERVAL_MS = 10_000
 REPORTS_PER_SECOND = 13
-STEP_MS = 1000
+INTERVAL_STEP_MS = 1000
 DIGEST_BYTES = 4
 
 
@@ -26,10 +26,10 @@
         """Choose among the entries of `directory`."""
         self.directory = directory
         self.regions = regions
-        self.chosen: dict[str, list[str]] = {}
-        self.counted = -1
+        self.addresses_by_sidecar: dict[str, list[str]] = {}
+        self.seen_change_count = -1
 
-    def entries(self, report: Report, hosts: int) -> Entries:
+    def entries_for(self, report: Report, hosts: int) -> Entries:
         """Choose for one sidecar.
 
         Args:
@@ -39,35 +39,39 @@
         Returns:
             What to send it, unless the report's digest is the same.
         """
-        if self.counted != self.directory.change_count:
-            self.chosen.clear()
-            self.counted = self.directory.change_count
-        addresses = self.chosen.get(report.sidecar)
+        if self.seen_change_count != self.directory.change_count:
+            self.addresses_by_sidecar.clear()
+            self.seen_change_count = self.directory.change_count
+        addresses = self.addresses_by_sidecar.get(report.sidecar)
         if addresses is None:
-            addresses = self.choose(report)
-            self.chosen[report.sidecar] = addresses
-        interval_ms = interval(hosts)
+            addresses = self.choose_addresses(report)
+            self.addresses_by_sidecar[report.sidecar] = addresses
+        interval_ms = report_interval_ms(hosts)
         text = f'{interval_ms} {addresses}'.encode()
         digest = hashlib.blake2b(text, digest_size=DIGEST_BYTES).hexdigest()
         return Entries(addresses, interval_ms, digest)
 
-    def choose(self, report: Report) -> list[str]:
+    def choose_addresses(self, report: Report) -> list[str]:
         """Rank the entries for one sidecar."""
         live = {record.incarnation: record for record in self.directory.live_entries()}
-        if len(live) <= FEW:
+        if len(live) <= ALL_ENTRIES_LIMIT:
             return sorted(record.address for record in live.values())
         region = self.regions.get(report.zone, '')
-        near = {name: one for name, one in live.items() if one.region == region}
-        return self.ranked(report, near or live)
+        same_region = {
+            name: record for name, record in live.items() if record.region == region
+        }
+        return self.rank_addresses(report, same_region or live)
 
-    def ranked(self, report: Report, names: dict[str, EntryRecord]) -> list[str]:
+    def rank_addresses(
+        self, report: Report, candidates: dict[str, EntryRecord]
+    ) -> list[str]:
         """Give the addresses of the first few."""
-        ranked = rendezvous(report.sidecar, names)
-        return [names[name].address for name in ranked[:TARGETS]]
+        ranked = rendezvous(report.sidecar, candidates)
+        return [candidates[name].address for name in ranked[:MAX_TARGETS]]
 
 
-def interval(hosts: int) -> int:
+def report_interval_ms(hosts: int) -> int:
     """Give the time between reports in ms, so that an entry can bear them."""
-    wanted_ms = hosts * STEP_MS // REPORTS_PER_SECOND
-    steps = -(-wanted_ms // STEP_MS)
-    return min(max(steps * STEP_MS, SHORTEST_MS), LONGEST_MS)
+    required_ms = hosts * INTERVAL_STEP_MS // REPORTS_PER_SECOND
+    steps = -(-required_ms // INTERVAL_STEP_MS)
+    return min(max(steps * INTERVAL_STEP_MS, MIN_INTERVAL_MS), MAX_INTERVAL_MS)
--- a/pollenwalk/process/write_limiter.py
+++ b/pollenwalk/process/write_limiter.py
@@ -11,10 +11,10 @@
 from pollenwalk.process.clock import MS_PER_SECOND, Clock
 
 BURST_S = 2.0
-SLOW_MS = 500
-LOWEST_SHARE = 0.05
-STEP = 0.02
-CUT = 0.5
+SLOW_WRITE_MS = 500
+MIN_SHARE = 0.05
+SHARE_INCREMENT = 0.02
+SHARE_DECREASE_FACTOR = 0.5
 
 
 class WriteLimiter:
@@ -24,43 +24,43 @@
         self,
         clock: Clock,
         writes_per_second: float,
-        entries: Callable[[], int],
+        count_entries: Callable[[], int],
     ) -> None:
         """Share `writes_per_second` among as many as `entries` counts."""
         self.clock = clock
         self.writes_per_second = writes_per_second
-        self.entries = entries
+        self.count_entries = count_entries
         self.share = 1.0
-        self.saved = 0.0
-        self.counted_ms = clock.now_ms()
+        self.permits = 0.0
+        self.refilled_ms = clock.now_ms()
 
     @property
     def rate(self) -> float:
         """Give the writes a second that this entry may make."""
-        return self.writes_per_second * self.share / max(self.entries(), 1)
+        return self.writes_per_second * self.share / max(self.count_entries(), 1)
 
-    def earn(self) -> None:
+    def refill(self) -> None:
         """Count what the time since the last write allows."""
         now_ms = self.clock.now_ms()
-        earned = self.rate * (now_ms - self.counted_ms) / MS_PER_SECOND
-        self.saved = min(self.saved + earned, self.rate * BURST_S)
-        self.counted_ms = now_ms
+        added = self.rate * (now_ms - self.refilled_ms) / MS_PER_SECOND
+        self.permits = min(self.permits + added, self.rate * BURST_S)
+        self.refilled_ms = now_ms
 
-    async def turn(self) -> None:
+    async def acquire(self) -> None:
         """Wait until the next write is within the share."""
-        self.earn()
-        if self.saved < 1:
-            await self.clock.sleep_ms((1 - self.saved) / self.rate * MS_PER_SECOND)
-            self.earn()
-        self.saved -= 1
+        self.refill()
+        if self.permits < 1:
+            await self.clock.sleep_ms((1 - self.permits) / self.rate * MS_PER_SECOND)
+            self.refill()
+        self.permits -= 1
 
-    def answered(self, took_ms: float) -> None:
+    def record_answer(self, took_ms: float) -> None:
         """Note a write that was answered."""
-        if took_ms > SLOW_MS:
-            self.refused()
+        if took_ms > SLOW_WRITE_MS:
+            self.record_failure()
             return
-        self.share = min(self.share + STEP, 1.0)
+        self.share = min(self.share + SHARE_INCREMENT, 1.0)
 
-    def refused(self) -> None:
+    def record_failure(self) -> None:
         """Note a write that was refused, lost or slow."""
-        self.share = max(self.share * CUT, LOWEST_SHARE)
+        self.share = max(self.share * SHARE_DECREASE_FACTOR, MIN_SHARE)
--- a/test/process/test_limits.py
+++ b/test/process/test_limits.py
@@ -11,7 +11,11 @@
     encode_record,
     record_key,
 )
-from pollenwalk.process.report_targets import TARGETS, ReportTargets, interval
+from pollenwalk.process.report_targets import (
+    MAX_TARGETS,
+    ReportTargets,
+    report_interval_ms,
+)
 from pollenwalk.process.store import ABSENT
 from pollenwalk.process.write_limiter import WriteLimiter
 from pollenwalk.request.retry import MAX_SAVED_RETRIES, RetryBudget, pause_ms
@@ -29,10 +33,10 @@
         clock = make_clock()
         write_limiter = WriteLimiter(clock, 200, lambda: 4)
         for _ in range(150):
-            await write_limiter.turn()
+            await write_limiter.acquire()
         begun_ms = clock.now_ms()
         for _ in range(100):
-            await write_limiter.turn()
+            await write_limiter.acquire()
         self.assertAlmostEqual(2000, clock.now_ms() - begun_ms, delta=30)
 
     @virtual
@@ -42,19 +46,19 @@
         await clock.sleep_ms(60_000)
         begun_ms = clock.now_ms()
         for _ in range(90):
-            await write_limiter.turn()
+            await write_limiter.acquire()
         self.assertEqual(begun_ms, clock.now_ms())
 
     @virtual
     async def test_gives_way_and_comes_back(self) -> None:
         write_limiter = WriteLimiter(make_clock(), 200, lambda: 4)
         for _ in range(20):
-            write_limiter.refused()
+            write_limiter.record_failure()
         self.assertAlmostEqual(2.5, write_limiter.rate)
         for _ in range(60):
-            write_limiter.answered(5)
+            write_limiter.record_answer(5)
         self.assertAlmostEqual(50, write_limiter.rate)
-        write_limiter.answered(5000)
+        write_limiter.record_answer(5000)
         self.assertAlmostEqual(25, write_limiter.rate)
 
 
@@ -111,15 +115,17 @@
     @virtual
     async def test_few_entries_hear_everybody(self) -> None:
         report_targets = ReportTargets(await self.make(5), REGIONS)
-        self.assertEqual(5, len(report_targets.entries(self.report(1), 10).addresses))
+        self.assertEqual(
+            5, len(report_targets.entries_for(self.report(1), 10).addresses)
+        )
 
     @virtual
     async def test_many_entries_share_the_sidecars(self) -> None:
         report_targets = ReportTargets(await self.make(40), REGIONS)
         heard: dict[str, int] = {}
         for number in range(1000):
-            chosen = report_targets.entries(self.report(number), 100).addresses
-            self.assertEqual(TARGETS, len(chosen))
+            chosen = report_targets.entries_for(self.report(number), 100).addresses
+            self.assertEqual(MAX_TARGETS, len(chosen))
             for address in chosen:
                 heard[address] = heard.get(address, 0) + 1
         self.assertLess(max(heard.values()), 150)
@@ -130,14 +136,14 @@
         directory = await self.make(40)
         report_targets = ReportTargets(directory, REGIONS)
         before = {
-            number: set(report_targets.entries(self.report(number), 100).addresses)
+            number: set(report_targets.entries_for(self.report(number), 100).addresses)
             for number in range(500)
         }
         gone = directory.records['e7']._replace(successor='e8')
         await directory.store.put(record_key('e7'), encode_record(gone), None)
         await directory.refresh()
         for number, addresses in before.items():
-            after = set(report_targets.entries(self.report(number), 100).addresses)
+            after = set(report_targets.entries_for(self.report(number), 100).addresses)
             self.assertEqual(addresses - {'e7:1'}, addresses & after)
 
     def test_interval_bounds_what_an_entry_hears(self) -> None:
@@ -148,4 +154,4 @@
             (130, 10_000),
             (9999, 10_000),
         ):
-            self.assertEqual(expected, interval(hosts), hosts)
+            self.assertEqual(expected, report_interval_ms(hosts), hosts)
--- a/test/test_broken.py
+++ b/test/test_broken.py
@@ -143,7 +143,7 @@
     Break(
         'declarations are pushed once and never asked for',
         Entry,
-        'reply',
+        'reply_to_report',
         lambda self, report: None,
         'declaration_reaches_cut_sidecars',
     ),
