--- a/pollenwalk/process/program_creator.py
+++ b/pollenwalk/process/program_creator.py
@@ -15,10 +15,10 @@
 from pollenwalk.program.records import Begun, Claimed, Record
 from pollenwalk.version.resources import ProgramSpec
 
-BEGIN_WAIT_MS = 2000
+COMMIT_TIMEOUT_MS = 2000
 RETRY_AFTER_MS = 1000
-DOOR_RETRY_MS = (500, 2000)
-KEY_RETAIN_MS = 600_000
+OVERLOAD_RETRY_MS = (500, 2000)
+CLAIM_RETENTION_MS = 600_000
 
 
 class PendingProgram(NamedTuple):
@@ -35,19 +35,19 @@
         """Begin programs at `home`."""
         self.owner = owner
         self.parts = owner.parts
-        self.beginning: dict[tuple[str, str], PendingProgram] = {}
-        self.claiming: dict[tuple[str, str], asyncio.Task[None]] = {}
+        self.pending: dict[tuple[str, str], PendingProgram] = {}
+        self.pending_claims: dict[tuple[str, str], asyncio.Task[None]] = {}
         self.claimed_ms: dict[tuple[str, str], float] = {}
 
-    async def begin(self, request: BeginProgram) -> Program:
+    async def create(self, request: BeginProgram) -> Program:
         """Begin a program; a repeat with the same key gives the same one.
 
         Raises:
             Refusal: it is not declared, or a limit or budget forbids it.
         """
-        known = self.known(request)
-        if known is not None:
-            return self.repeated(known, request)
+        existing = self.find_existing(request)
+        if existing is not None:
+            return self.check_repeat(existing, request)
         self.owner.check_open()
         spec = self.parts.config.program(request.declaration)
         if spec is None:
@@ -56,13 +56,13 @@
                 f'no program is declared as {request.declaration!r}',
             )
         identity = (request.caller, request.key or request.program)
-        beginning = self.beginning.get(identity)
-        if beginning is None:
-            beginning = self.begin_new(request, spec)
-        await self.durable(beginning.task)
-        return self.begun(beginning.program)
+        pending_program = self.pending.get(identity)
+        if pending_program is None:
+            pending_program = self.create_new(request, spec)
+        await self.wait_durable(pending_program.task)
+        return self.created_program(pending_program.program)
 
-    async def durable(self, task: asyncio.Task[None]) -> None:
+    async def wait_durable(self, task: asyncio.Task[None]) -> None:
         """Wait a bounded time for a commit that goes on in any case.
 
         Raises:
@@ -70,12 +70,12 @@
             Fenced: this home has a successor; ask there.
         """
         try:
-            async with self.parts.clock.timeout_ms(BEGIN_WAIT_MS):
+            async with self.parts.clock.timeout_ms(COMMIT_TIMEOUT_MS):
                 await asyncio.shield(task)
         except TimeoutError as error:
             raise store_unavailable() from error
 
-    def begun(self, program_id: str) -> Program:
+    def created_program(self, program_id: str) -> Program:
         """Give a program whose record is durable.
 
         Raises:
@@ -88,7 +88,7 @@
             )
         return self.owner.find(program_id).program
 
-    def known(self, request: BeginProgram) -> Program | None:
+    def find_existing(self, request: BeginProgram) -> Program | None:
         """Give the program that was begun with this key or id."""
         book = self.owner.book
         program_id = request.program
@@ -112,21 +112,21 @@
             Fenced: this home has a successor; ask there.
         """
         identity = (caller, key)
-        known = self.owner.book.claims.get(identity)
-        if known or not program:
-            return known or ''
+        existing = self.owner.book.claims.get(identity)
+        if existing or not program:
+            return existing or ''
         self.owner.check_open()
-        task = self.claiming.get(identity)
+        task = self.pending_claims.get(identity)
         if task is None:
             record = Claimed(caller, key, program)
             task = self.owner.tasks.spawn(self.parts.recorder.commit([record]), 'claim')
-            self.claiming[identity] = task
-            task.add_done_callback(lambda _: self.claiming.pop(identity, None))
-        await self.durable(task)
+            self.pending_claims[identity] = task
+            task.add_done_callback(lambda _: self.pending_claims.pop(identity, None))
+        await self.wait_durable(task)
         self.claimed_ms[identity] = self.parts.clock.now_ms()
         return self.owner.book.claims[identity]
 
-    def repeated(self, program: Program, request: BeginProgram) -> Program:
+    def check_repeat(self, program: Program, request: BeginProgram) -> Program:
         """Check that a repeat asks for the same program."""
         if program.declaration != request.declaration:
             raise Refusal(
@@ -142,7 +142,7 @@
             self.parts.dice,
         )
 
-    def begin_new(self, request: BeginProgram, spec: ProgramSpec) -> PendingProgram:
+    def create_new(self, request: BeginProgram, spec: ProgramSpec) -> PendingProgram:
         """Check the limits and start recording a new program."""
         program_id = request.program or self.new_id()
         limit = min(request.budget or spec.budget_tokens, spec.budget_tokens)
@@ -157,21 +157,21 @@
             Budget(limit).ahead(spec.reserve_tokens),
             min(request.deadline_ms or spec.deadline_ms, spec.deadline_ms),
         )
-        beginning = PendingProgram(program_id, self.record(record))
+        pending_program = PendingProgram(program_id, self.record_creation(record))
         identity = (request.caller, request.key or program_id)
-        self.beginning[identity] = beginning
-        beginning.task.add_done_callback(lambda _: self.beginning.pop(identity, None))
-        return beginning
+        self.pending[identity] = pending_program
+        pending_program.task.add_done_callback(lambda _: self.pending.pop(identity, None))
+        return pending_program
 
-    def record(self, record: Begun) -> asyncio.Task[None]:
-        """Start to record a beginning, a child's under its parent's lock."""
+    def record_creation(self, record: Begun) -> asyncio.Task[None]:
+        """Start to record a pending_program, a child's under its parent's lock."""
         recorder = self.parts.recorder
         if not record.parent:
             return self.owner.tasks.spawn(recorder.commit([record]), 'begin')
         parent = self.owner.find(record.parent)
-        return recorder.record_later(parent, lambda: self.carved(parent, record))
+        return recorder.record_later(parent, lambda: self.records_within_budget(parent, record))
 
-    def carved(self, parent: LiveProgram, record: Begun) -> list[Record]:
+    def records_within_budget(self, parent: LiveProgram, record: Begun) -> list[Record]:
         """Check the parent's budget again under its lock."""
         if record.limit > parent.program.budget.free:
             return []
@@ -186,23 +186,23 @@
         if request.parent:
             self.check_parent(request.parent, limit)
             return
-        self.check_room(request)
+        self.check_load(request)
         budget = self.parts.config.budget(request.caller)
         running = [
             program
             for program in self.owner.book.programs.values()
             if program.caller == request.caller and not program.ended
         ]
-        promised = sum(program.budget.limit for program in running)
+        granted = sum(program.budget.limit for program in running)
         over = len(running) >= budget.concurrent_programs
-        if over or promised + limit > budget.tokens:
+        if over or granted + limit > budget.tokens:
             raise Refusal(
                 RefusalCode.BUDGET_EXHAUSTED,
                 f'the limits of {request.caller} are reached',
                 retry_after_ms=RETRY_AFTER_MS,
             )
 
-    def check_room(self, request: BeginProgram) -> None:
+    def check_load(self, request: BeginProgram) -> None:
         """Refuse a new program while its model upstreams are overloaded.
 
         Raises:
@@ -218,7 +218,7 @@
                 raise Refusal(
                     RefusalCode.OVERLOADED,
                     f'{name} has too many calls waiting',
-                    retry_after_ms=self.parts.dice.randint(*DOOR_RETRY_MS),
+                    retry_after_ms=self.parts.dice.randint(*OVERLOAD_RETRY_MS),
                 )
 
     def check_parent(self, parent_id: str, limit: int) -> None:
@@ -241,6 +241,6 @@
         now_ms = self.parts.clock.now_ms()
         for identity in list(self.owner.book.claims):
             claimed_ms = self.claimed_ms.setdefault(identity, now_ms)
-            if now_ms - claimed_ms > KEY_RETAIN_MS:
+            if now_ms - claimed_ms > CLAIM_RETENTION_MS:
                 self.owner.book.claims.pop(identity)
                 self.claimed_ms.pop(identity)
--- a/pollenwalk/request/routing.py
+++ b/pollenwalk/request/routing.py
@@ -290,7 +290,7 @@
     async def answer(self, message: Any) -> View:
         """Answer a question about a program of this home."""
         if isinstance(message, BeginProgram):
-            return View(view_program(await self.owner.program_creator.begin(message)))
+            return View(view_program(await self.owner.program_creator.create(message)))
         if isinstance(message, EndProgram):
             return View(view_program(await self.owner.end(message.program)))
         live = self.owner.find(message.program)
