--- a/pollenwalk/process/adoption.py
+++ b/pollenwalk/process/adoption.py
@@ -64,12 +64,12 @@
 
         Other entries look into our journal to see whether we have adopted.
         """
-        self.owner.adopting += 1
+        self.owner.adoptions_in_progress += 1
         try:
             await self.adopt(dead)
             await self.name_successor(dead)
         finally:
-            self.owner.adopting -= 1
+            self.owner.adoptions_in_progress -= 1
 
     async def adopt(self, dead: str) -> None:
         """Copy all programs, then make the copy count."""
--- a/pollenwalk/process/compaction.py
+++ b/pollenwalk/process/compaction.py
@@ -55,7 +55,7 @@
 
     async def compact(self) -> None:
         """Write the oldest programs again, then delete what nobody needs."""
-        if self.owner.adopting:
+        if self.owner.adoptions_in_progress:
             return
         self.forget_dropped()
         if self.journal.next_segment - self.floor > MAX_SEGMENTS:
--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -156,7 +156,7 @@
             self.incarnation,
             self.dice,
         )
-        self.journal.interval_ms = self.settings.journal_interval_ms
+        self.journal.min_interval_ms = self.settings.journal_interval_ms
         self.journal.write_limiter = WriteLimiter(
             self.clock,
             self.settings.store_writes_per_second,
@@ -245,7 +245,7 @@
     def leave_to_successor(self) -> None:
         """Go on as a new incarnation: a successor has our programs."""
         self.ready = False
-        self.owner.abandon()
+        self.owner.refuse_open_calls()
         if not self.stopping:
             self.tasks.spawn(self.restart_incarnation(), 'reincarnate')
 
--- a/pollenwalk/process/entry_monitor.py
+++ b/pollenwalk/process/entry_monitor.py
@@ -56,7 +56,7 @@
             )
         ]
         usable = [ref for ref in refs if ref not in failed][:count]
-        self.entry.journal.want_witnesses(usable if len(usable) == count else [])
+        self.entry.journal.set_witnesses(usable if len(usable) == count else [])
 
     def start_probe(self, record: EntryRecord) -> None:
         """Start looking into a silent entry, once at a time."""
--- a/pollenwalk/process/journal.py
+++ b/pollenwalk/process/journal.py
@@ -32,8 +32,8 @@
 from pollenwalk.program.records import Record, encode_records
 
 MAX_SEGMENT_BYTES = 600_000
-STALL_MS = 1500
-FRESH_MS = 1000
+STALL_TIMEOUT_MS = 1500
+RECENT_CONFIRMATION_MS = 1000
 WITNESS_RETRY_MS = 200
 
 
@@ -47,7 +47,7 @@
         self.opened_ms = opened_ms
         self.durable: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
-    def settle(self) -> None:
+    def mark_durable(self) -> None:
         """Mark the batch durable."""
         if not self.durable.done():
             self.durable.set_result(None)
@@ -76,23 +76,23 @@
         self.clock = clock
         self.tasks = tasks
         self.incarnation = incarnation
-        self.interval_ms = 0.0
+        self.min_interval_ms = 0.0
         self.write_limiter: WriteLimiter | None = None
         self.next_segment = 1
         self.next_batch = 1
-        self.base = 0
+        self.last_stored_batch = 0
         self.open_records: list[Record] = []
         self.open_batch: Batch | None = None
         self.pending: list[Batch] = []
-        self.work = asyncio.Event()
-        self.witnessing = asyncio.Event()
+        self.work_available = asyncio.Event()
+        self.batch_available = asyncio.Event()
         self.fenced = False
         self.handing_over = False
         self.confirmed_ms = float('-inf')
-        self.wanted: list[WitnessRef] = []
+        self.desired_witnesses: list[WitnessRef] = []
         self.effective_witnesses: list[WitnessRef] = []
-        self.proposed: list[WitnessRef] = []
-        self.links: dict[WitnessRef, WitnessLink] = {}
+        self.proposed_witnesses: list[WitnessRef] = []
+        self.witness_links: dict[WitnessRef, WitnessLink] = {}
         self.on_fenced: Callable[[], None] = lambda: None
         self.peers: PeerSource | None = None
         self.segments_written = 0
@@ -130,7 +130,7 @@
         This rests on the clock and so guards nothing that must not happen:
         only that an outdated home seldom repeats what may be repeated.
         """
-        return self.clock.now_ms() - self.confirmed_ms < FRESH_MS
+        return self.clock.now_ms() - self.confirmed_ms < RECENT_CONFIRMATION_MS
 
     def close_batch(self) -> None:
         """Number the open batch and offer it to the store and witnesses."""
@@ -146,8 +146,8 @@
             batch.fail()
             return
         self.pending.append(batch)
-        self.work.set()
-        self.witnessing.set()
+        self.work_available.set()
+        self.batch_available.set()
 
     @property
     def stalled(self) -> bool:
@@ -155,24 +155,24 @@
         oldest = next((one for one in self.pending if not one.durable.done()), None)
         if oldest is None:
             return False
-        return self.clock.now_ms() - oldest.opened_ms > STALL_MS
+        return self.clock.now_ms() - oldest.opened_ms > STALL_TIMEOUT_MS
 
     async def write_segments(self) -> None:
         """Write what is pending, one segment after the other."""
         while not self.fenced:
-            await self.work.wait()
-            self.work.clear()
-            while not self.fenced and self.has_work():
+            await self.work_available.wait()
+            self.work_available.clear()
+            while not self.fenced and self.segment_due():
                 if self.write_limiter is not None:
                     await self.write_limiter.acquire()
-                await self.write_segment(list(self.fitting()))
-                await self.clock.sleep_ms(self.interval_ms)
+                await self.write_segment(list(self.next_segment_batches()))
+                await self.clock.sleep_ms(self.min_interval_ms)
 
-    def has_work(self) -> bool:
+    def segment_due(self) -> bool:
         """Tell whether a segment is due."""
-        return bool(self.pending) or self.wanted != self.effective_witnesses
+        return bool(self.pending) or self.desired_witnesses != self.effective_witnesses
 
-    def fitting(self) -> Iterable[Batch]:
+    def next_segment_batches(self) -> Iterable[Batch]:
         """Give pending batches up to a segment's size, at least one."""
         size = 0
         for batch in self.pending:
@@ -183,33 +183,33 @@
 
     async def write_segment(self, batches: list[Batch]) -> None:
         """Create the next segment, however often its answer is lost."""
-        self.proposed = list(self.wanted)
+        self.proposed_witnesses = list(self.desired_witnesses)
         segment = Segment(
             make_nonce(self.dice),
-            self.base + 1,
+            self.last_stored_batch + 1,
             [batch.body for batch in batches],
-            self.proposed,
+            self.proposed_witnesses,
         )
         key = segment_key(self.incarnation, self.next_segment)
         body = encode_segment(segment)
-        if await self.create(key, body):
-            self.stored(batches)
+        if await self.create_segment(key, body):
+            self.segment_written(batches)
         else:
             self.fence()
 
-    async def create(self, key: str, body: bytes) -> bool:
+    async def create_segment(self, key: str, body: bytes) -> bool:
         """Create a segment; tell whether it is ours."""
         backoff = Backoff(self.clock)
         while True:
-            begun_ms = self.clock.now_ms()
+            started_ms = self.clock.now_ms()
             try:
-                ours = await create_or_compare(self.store, key, body)
+                created = await create_or_compare(self.store, key, body)
             except StoreUnavailable:
                 self.adjust_write_limit(None)
                 await backoff.pause()
                 continue
-            self.adjust_write_limit(self.clock.now_ms() - begun_ms)
-            return ours
+            self.adjust_write_limit(self.clock.now_ms() - started_ms)
+            return created
 
     def adjust_write_limit(self, took_ms: float | None) -> None:
         """Let the pace follow the store."""
@@ -220,15 +220,17 @@
         else:
             self.write_limiter.record_answer(took_ms)
 
-    def stored(self, batches: list[Batch]) -> None:
+    def segment_written(self, batches: list[Batch]) -> None:
         """Note a written segment."""
         self.next_segment += 1
         self.segments_written += 1
-        self.base += len(batches)
-        self.pending = [one for one in self.pending if one.number > self.base]
-        self.effective_witnesses = self.proposed
-        self.settle(batches)
-        self.link_witnesses()
+        self.last_stored_batch += len(batches)
+        self.pending = [
+            one for one in self.pending if one.number > self.last_stored_batch
+        ]
+        self.effective_witnesses = self.proposed_witnesses
+        self.mark_durable(batches)
+        self.update_witness_links()
 
     def fence(self) -> None:
         """Stop for good: a successor owns the programs now."""
@@ -239,62 +241,64 @@
         for batch in self.pending:
             batch.fail()
         self.pending = []
-        self.witnessing.set()
+        self.batch_available.set()
         self.on_fenced()
 
-    def want_witnesses(self, refs: list[WitnessRef]) -> None:
+    def set_witnesses(self, refs: list[WitnessRef]) -> None:
         """Ask for another set of witnesses, from the next segment on."""
-        if refs != self.wanted:
-            self.wanted = refs
-            self.work.set()
+        if refs != self.desired_witnesses:
+            self.desired_witnesses = refs
+            self.work_available.set()
 
     def failed_witnesses(self) -> list[WitnessRef]:
         """Give the witnesses that can't acknowledge any more."""
-        return [ref for ref, link in self.links.items() if link.failed]
+        return [ref for ref, link in self.witness_links.items() if link.failed]
 
-    def link_witnesses(self) -> None:
+    def update_witness_links(self) -> None:
         """Start sending to new witnesses and stop sending to old ones."""
-        for ref in list(self.links):
+        for ref in list(self.witness_links):
             if ref not in self.effective_witnesses:
-                self.links.pop(ref)
+                self.witness_links.pop(ref)
         if self.peers is None:
             return
         for ref in self.effective_witnesses:
-            if ref not in self.links:
+            if ref not in self.witness_links:
                 link = WitnessLink(ref, self.peers(ref.address))
-                self.links[ref] = link
-                self.tasks.spawn(self.feed(link), 'journal_witness')
+                self.witness_links[ref] = link
+                self.tasks.spawn(self.send_to_witness(link), 'journal_witness')
 
-    async def feed(self, link: WitnessLink) -> None:
+    async def send_to_witness(self, link: WitnessLink) -> None:
         """Send pending batches to one witness while it is one of ours."""
-        while self.links.get(link.ref) is link and not link.failed:
+        while self.witness_links.get(link.ref) is link and not link.failed:
             batches = list(self.pending)
             if not batches or batches[-1].number <= link.acknowledged:
-                self.witnessing.clear()
-                await self.witnessing.wait()
+                self.batch_available.clear()
+                await self.batch_available.wait()
                 continue
             message = WitnessAppend(
                 self.incarnation,
-                self.base,
+                self.last_stored_batch,
                 batches[0].number,
                 [batch.body for batch in batches],
             )
             if await link.send(message):
-                self.acknowledge()
+                self.mark_acknowledged_durable()
             elif not link.failed:
                 await self.clock.sleep_ms(WITNESS_RETRY_MS)
 
-    def acknowledge(self) -> None:
+    def mark_acknowledged_durable(self) -> None:
         """Settle the batches that every required witness holds."""
-        required = dict.fromkeys([*self.effective_witnesses, *self.proposed])
-        links = [self.links.get(ref) for ref in required]
+        required = dict.fromkeys([*self.effective_witnesses, *self.proposed_witnesses])
+        links = [self.witness_links.get(ref) for ref in required]
         if not links or not all(links):
             return
-        held = min(link.acknowledged for link in links if link is not None)
-        self.settle([batch for batch in self.pending if batch.number <= held])
+        acknowledged = min(link.acknowledged for link in links if link is not None)
+        self.mark_durable(
+            [batch for batch in self.pending if batch.number <= acknowledged]
+        )
 
-    def settle(self, batches: list[Batch]) -> None:
+    def mark_durable(self, batches: list[Batch]) -> None:
         """Note batches that are durable."""
         for batch in batches:
-            batch.settle()
+            batch.mark_durable()
             self.confirmed_ms = max(self.confirmed_ms, batch.opened_ms)
--- a/pollenwalk/process/owner_interface.py
+++ b/pollenwalk/process/owner_interface.py
@@ -27,7 +27,7 @@
     def find(self, program_id: str) -> LiveProgram:
         """Give a program of this home."""
 
-    def check_open(self) -> None:
+    def check_accepts_work(self) -> None:
         """Refuse new work while none can be taken."""
 
     async def run(self, live: LiveProgram, call: LiveCall) -> None:
--- a/pollenwalk/process/program_creator.py
+++ b/pollenwalk/process/program_creator.py
@@ -48,7 +48,7 @@
         existing = self.find_existing(request)
         if existing is not None:
             return self.check_repeat(existing, request)
-        self.owner.check_open()
+        self.owner.check_accepts_work()
         spec = self.parts.config.program(request.declaration)
         if spec is None:
             raise Refusal(
@@ -115,7 +115,7 @@
         existing = self.owner.book.claims.get(identity)
         if existing or not program:
             return existing or ''
-        self.owner.check_open()
+        self.owner.check_accepts_work()
         task = self.pending_claims.get(identity)
         if task is None:
             record = Claimed(caller, key, program)
@@ -160,7 +160,9 @@
         pending_program = PendingProgram(program_id, self.record_creation(record))
         identity = (request.caller, request.key or program_id)
         self.pending[identity] = pending_program
-        pending_program.task.add_done_callback(lambda _: self.pending.pop(identity, None))
+        pending_program.task.add_done_callback(
+            lambda _: self.pending.pop(identity, None)
+        )
         return pending_program
 
     def record_creation(self, record: Begun) -> asyncio.Task[None]:
@@ -169,7 +171,9 @@
         if not record.parent:
             return self.owner.tasks.spawn(recorder.commit([record]), 'begin')
         parent = self.owner.find(record.parent)
-        return recorder.record_later(parent, lambda: self.records_within_budget(parent, record))
+        return recorder.record_later(
+            parent, lambda: self.records_within_budget(parent, record)
+        )
 
     def records_within_budget(self, parent: LiveProgram, record: Begun) -> list[Record]:
         """Check the parent's budget again under its lock."""
--- a/pollenwalk/process/program_owner.py
+++ b/pollenwalk/process/program_owner.py
@@ -36,16 +36,16 @@
 from pollenwalk.request.execution import Execution, doubted
 from pollenwalk.request.parts import Parts
 
-END_WAIT_MS = 2000
+END_COMMIT_TIMEOUT_MS = 2000
 RENEW_MS = 5000
 RELEASE_TIMEOUT_MS = 2000
 RELEASE_ATTEMPTS = 5
-STOP_CHECK_MS = 2000
+STOP_POLL_MS = 2000
 RETAIN_MS = 600_000
 RECOVERY_MS = 30_000
 RETRY_AFTER_MS = 1000
-CONFIRM_WAIT_MS = 1000
-ABOUT_FORM = frozenset(
+CONFIRM_TIMEOUT_MS = 1000
+REQUEST_ERROR_CODES = frozenset(
     (
         RefusalCode.MALFORMED,
         RefusalCode.KEY_MISSING,
@@ -65,7 +65,7 @@
         self.tasks = tasks
         self.live: dict[str, LiveProgram] = {}
         self.stopping = False
-        self.adopting = 0
+        self.adoptions_in_progress = 0
         self.program_creator = ProgramCreator(self)
         self.recovery = Recovery(self)
         self.maintenance = ProgramMaintenance(self)
@@ -98,7 +98,7 @@
             self.live[program_id] = live
         return live
 
-    def check_open(self) -> None:
+    def check_accepts_work(self) -> None:
         """Refuse new work while stopping or while nothing can be recorded."""
         if self.stopping:
             raise Refusal(
@@ -123,7 +123,7 @@
         """
         check_request(request)
         try:
-            async for item in self.answer(request):
+            async for item in self.follow_call(request):
                 yield item
         except Refusal as refusal:
             if await self.verify_not_run(refusal, request):
@@ -139,7 +139,7 @@
         Raises:
             Fenced: this home has a successor; ask there.
         """
-        if refusal.outcome != Outcome.NOT_RUN or refusal.code in ABOUT_FORM:
+        if refusal.outcome != Outcome.NOT_RUN or refusal.code in REQUEST_ERROR_CODES:
             return True
         live = self.live.get(request.program)
         upstream = self.parts.config.upstream(request.upstream)
@@ -155,16 +155,16 @@
             Fenced: this home has a successor; ask there.
         """
         try:
-            await self.parts.recorder.confirm(CONFIRM_WAIT_MS)
+            await self.parts.recorder.confirm(CONFIRM_TIMEOUT_MS)
         except TimeoutError:
             return False
         return True
 
-    async def answer(self, request: CallProgram) -> AsyncIterator[Tokens | Answer]:
+    async def follow_call(self, request: CallProgram) -> AsyncIterator[Tokens | Answer]:
         """Find or start a call and follow it to its end."""
         live = self.find(request.program)
         live.used_ms = self.parts.clock.now_ms()
-        call = self.attach(live, request)
+        call = self.find_or_accept(live, request)
         if isinstance(call, FinishedCall):
             finished = call
             for tokens in replayed_tokens(finished, request.offset):
@@ -177,7 +177,7 @@
             raise finished.refusal.to_refusal()
         yield finished.answer
 
-    def attach(
+    def find_or_accept(
         self,
         live: LiveProgram,
         request: CallProgram,
@@ -187,25 +187,25 @@
         known = live.calls.get(request.key)
         finished = live.program.finished.get(request.key)
         if known is not None:
-            check_same(known.digest, known.request.sequence, call)
+            check_same_request(known.digest, known.request.sequence, call)
             return known
         if finished is not None:
-            check_same(finished.digest, finished.sequence, call)
+            check_same_request(finished.digest, finished.sequence, call)
             return finished
         self.accept(live, call)
         return call
 
     def accept(self, live: LiveProgram, call: LiveCall) -> None:
         """Check a new call and start its task."""
-        self.check_open()
-        self.check_declared(live, call.request)
+        self.check_accepts_work()
+        self.check_operation(live, call.request)
         live.admit(call.request)
         self.check_loops(live, call)
         key = call.request.key
         live.calls[key] = call
         live.tasks[key] = self.tasks.spawn(self.run(live, call), 'call')
 
-    def check_declared(self, live: LiveProgram, request: CallProgram) -> None:
+    def check_operation(self, live: LiveProgram, request: CallProgram) -> None:
         """Check the upstream and the operation against the declarations."""
         spec = self.parts.config.program(live.program.declaration)
         upstream = self.parts.config.upstream(request.upstream)
@@ -249,13 +249,13 @@
             call.refuse(error)
         finally:
             if not call.done.done():
-                call.refuse(cancelled(call) if live.ending else sealed())
+                call.refuse(cancelled_refusal(call) if live.ending else sealed())
             live.calls.pop(call.request.key, None)
             live.tasks.pop(call.request.key, None)
             live.used_ms = self.parts.clock.now_ms()
             live.notify()
 
-    def abandon(self) -> None:
+    def refuse_open_calls(self) -> None:
         """Let all calls go on at the successor: nothing counts here now."""
         for live in self.live.values():
             for call in list(live.calls.values()):
@@ -273,18 +273,18 @@
             return live.program
         live.ending = True
         live.notify()
-        for child in self.children(program_id):
+        for child in self.running_children(program_id):
             await self.end(child.id)
-        cut_short = any(call.running for call in live.calls.values())
+        was_running = any(call.running for call in live.calls.values())
         await self.stop_calls(live)
         records: list[Record] = [Ended(program_id)]
-        if cut_short:
+        if was_running:
             records.insert(0, Forfeited(program_id))
-        await self.parts.recorder.record(live, lambda: records, END_WAIT_MS)
+        await self.parts.recorder.record(live, lambda: records, END_COMMIT_TIMEOUT_MS)
         self.tasks.spawn(self.maintenance.release(live.program), 'release')
         return live.program
 
-    def children(self, program_id: str) -> list[Program]:
+    def running_children(self, program_id: str) -> list[Program]:
         """Give the sub-agents of a program that still run."""
         return [
             program
@@ -298,7 +298,7 @@
             if key not in live.program.intents:
                 task.cancel()
         while live.calls:
-            await live.wait_change(STOP_CHECK_MS)
+            await live.wait_change(STOP_POLL_MS)
 
 
 def replayed_tokens(finished: FinishedCall, offset: int) -> Iterator[Tokens]:
@@ -308,7 +308,7 @@
         yield Tokens(0, [text])
 
 
-def check_same(digest: str, sequence: int, call: LiveCall) -> None:
+def check_same_request(digest: str, sequence: int, call: LiveCall) -> None:
     """Check that a repeated key comes with the same request.
 
     Raises:
@@ -330,15 +330,15 @@
     message = argument.get('message')
     if not isinstance(message, str) or not message:
         raise Refusal(RefusalCode.MALFORMED, 'input.message must be a text')
-    wished = argument.get('max_tokens', 1)
-    if not isinstance(wished, int) or wished < 1:
+    max_tokens = argument.get('max_tokens', 1)
+    if not isinstance(max_tokens, int) or max_tokens < 1:
         raise Refusal(
             RefusalCode.MALFORMED,
             'input.max_tokens must be a whole number from 1 on',
         )
 
 
-def cancelled(call: LiveCall) -> Refusal:
+def cancelled_refusal(call: LiveCall) -> Refusal:
     """Describe a call that its program's end cut short."""
     outcome = Outcome.RAN if call.running else Outcome.NOT_RUN
     return Refusal(RefusalCode.CANCELLED, 'the program was ended', outcome)
--- a/pollenwalk/process/sidecar_service.py
+++ b/pollenwalk/process/sidecar_service.py
@@ -66,7 +66,7 @@
         self.check_boot(message.boot, Outcome.NOT_RUN)
         call = self.work.calls.calls.get(message.call)
         if call is None or (call.failed and message.idempotent):
-            self.check_open()
+            self.check_accepts_work()
             history = self.work.histories.join(message) if self.work.grants else []
             if history is None:
                 yield NeedHistory(message.program)
@@ -91,7 +91,7 @@
                 outcome,
             )
 
-    def check_open(self) -> None:
+    def check_accepts_work(self) -> None:
         """Refuse new calls while leaving or without a declaration."""
         if self.sidecar.leaving:
             raise Refusal(
