--- a/pollenwalk/process/adoption.py
+++ b/pollenwalk/process/adoption.py
@@ -21,7 +21,7 @@
 from pollenwalk.program.program import ProgramBook, snapshot_of
 from pollenwalk.program.records import Adopted, Claimed, Snapshot
 
-CHUNK_BYTES = 300_000
+MAX_COMMIT_BYTES = 300_000
 
 
 class Adoption:
@@ -55,11 +55,11 @@
             owner_id = await self.takeover.claim_ownership(dead)
             if owner_id != self.takeover.successor:
                 return False
-            await self.adopt_and_name(dead)
-        await self.name_successor(dead)
+            await self.adopt_and_record_successor(dead)
+        await self.record_successor(dead)
         return True
 
-    async def adopt_and_name(self, dead: str) -> None:
+    async def adopt_and_record_successor(self, dead: str) -> None:
         """Adopt; until the successor is named no segment may be deleted.
 
         Other entries look into our journal to see whether we have adopted.
@@ -67,7 +67,7 @@
         self.owner.adoptions_in_progress += 1
         try:
             await self.adopt(dead)
-            await self.name_successor(dead)
+            await self.record_successor(dead)
         finally:
             self.owner.adoptions_in_progress -= 1
 
@@ -75,20 +75,20 @@
         """Copy all programs, then make the copy count."""
         sealed = await self.takeover.read_sealed(dead)
         book = replay(sealed)
-        await self.copy(book, dead)
+        await self.commit_snapshots(book, dead)
         self.owner.book.join(book)
         self.owner.recovery.recover(book.programs.values())
         inherited = adopted_incarnations(sealed)
         self.adopted.update(dict.fromkeys([dead, *sorted(inherited)]))
         logger.info('entry_adopted', dead=dead, programs=len(book.programs))
         for incarnation in sorted(inherited):
-            await self.name_successor(incarnation)
+            await self.record_successor(incarnation)
         await self.delete_segments(dead, sealed.content)
 
-    async def copy(self, book: ProgramBook, dead: str) -> None:
+    async def commit_snapshots(self, book: ProgramBook, dead: str) -> None:
         """Commit all programs and settled keys, then make them count."""
         journal = self.owner.parts.recorder.journal
-        for chunk in chunks(book, dead):
+        for chunk in snapshot_chunks(book, dead):
             await journal.commit(chunk)
         claims = [
             Claimed(caller, key, program)
@@ -96,29 +96,29 @@
         ]
         await journal.commit([*claims, Adopted(dead)])
 
-    async def name_successor(self, dead: str) -> None:
+    async def record_successor(self, dead: str) -> None:
         """Write into a dead entry's record who has its programs."""
         backoff = Backoff(self.owner.parts.clock)
-        while not await self.successor_named(dead):
+        while not await self.try_record_successor(dead):
             await backoff.pause()
 
-    async def successor_named(self, dead: str) -> bool:
+    async def try_record_successor(self, dead: str) -> bool:
         """Try once to write the successor."""
         try:
             stored = await self.store.get(record_key(dead))
             if stored is not None:
-                self.directory.apply(await self.with_successor(stored))
+                self.directory.apply(await self.write_successor(stored))
         except (StoreConflict, StoreUnavailable):
             return False
         return True
 
-    async def with_successor(self, stored: StoredObject) -> StoredObject:
+    async def write_successor(self, stored: StoredObject) -> StoredObject:
         """Write the successor into a record that names none yet."""
         record = decode_record(stored.body)
         if record.successor:
             return stored
-        named = record._replace(successor=self.takeover.successor)
-        body = encode_record(named)
+        updated = record._replace(successor=self.takeover.successor)
+        body = encode_record(updated)
         version = await self.store.put(stored.key, body, stored.version)
         return stored._replace(body=body, version=version)
 
@@ -133,16 +133,16 @@
                 return
 
 
-def chunks(book: ProgramBook, origin: str) -> list[list[Snapshot]]:
+def snapshot_chunks(book: ProgramBook, origin: str) -> list[list[Snapshot]]:
     """Split a book into commits of bounded size."""
     parts: list[list[Snapshot]] = [[]]
     size = 0
     for program in book.programs.values():
         snapshot = snapshot_of(program, origin)
-        weight = len(msgspec.msgpack.encode(snapshot))
-        if parts[-1] and size + weight > CHUNK_BYTES:
+        snapshot_bytes = len(msgspec.msgpack.encode(snapshot))
+        if parts[-1] and size + snapshot_bytes > MAX_COMMIT_BYTES:
             parts.append([])
             size = 0
         parts[-1].append(snapshot)
-        size += weight
+        size += snapshot_bytes
     return [part for part in parts if part]
--- a/pollenwalk/process/compaction.py
+++ b/pollenwalk/process/compaction.py
@@ -14,9 +14,9 @@
 from pollenwalk.program.program import snapshot_of
 from pollenwalk.program.records import Begun, Claimed, Record, Snapshot
 
-CHECK_MS = 1000
+CHECK_INTERVAL_MS = 1000
 MAX_SEGMENTS = 256
-SNAPSHOTS_PER_ROUND = 64
+MAX_SNAPSHOTS_PER_ROUND = 64
 
 
 class Compaction:
@@ -27,25 +27,25 @@
         self.owner = owner
         self.store = store
         self.journal = owner.parts.recorder.journal
-        self.base_of: dict[str, int] = {}
-        self.claims_base = 1
-        self.floor = 1
+        self.first_segments: dict[str, int] = {}
+        self.claims_segment = 1
+        self.oldest_segment = 1
 
     def start(self) -> None:
         """Follow what is recorded and compact in the background."""
-        self.owner.parts.recorder.touched = self.touched
+        self.owner.parts.recorder.touched = self.track_first_segments
         self.owner.tasks.spawn(self.run(), 'compaction')
 
-    def touched(self, records: list[Record], segment: int) -> None:
+    def track_first_segments(self, records: list[Record], segment: int) -> None:
         """Note that a program's records begin no earlier than a segment."""
         for record in records:
             if isinstance(record, Begun | Snapshot):
-                self.base_of[record.program] = segment
+                self.first_segments[record.program] = segment
 
     async def run(self) -> None:
         """Compact for as long as the home lives."""
         while not self.journal.fenced:
-            await self.owner.parts.clock.sleep_ms(CHECK_MS)
+            await self.owner.parts.clock.sleep_ms(CHECK_INTERVAL_MS)
             try:
                 await self.compact()
             except Fenced:
@@ -57,34 +57,38 @@
         """Write the oldest programs again, then delete what nobody needs."""
         if self.owner.adoptions_in_progress:
             return
-        self.forget_dropped()
-        if self.journal.next_segment - self.floor > MAX_SEGMENTS:
+        self.sync_programs()
+        if self.journal.next_segment - self.oldest_segment > MAX_SEGMENTS:
             await self.rewrite_claims()
-            for program_id in self.oldest():
-                await self.rewrite(program_id)
-        await self.delete_below(self.needed_floor())
+            for program_id in self.oldest_programs():
+                await self.rewrite_program(program_id)
+        await self.delete_segments_before(self.first_needed_segment())
 
-    def forget_dropped(self) -> None:
+    def sync_programs(self) -> None:
         """Forget programs that the home has dropped."""
         known = self.owner.book.programs
-        self.base_of = {
-            program: base for program, base in self.base_of.items() if program in known
+        self.first_segments = {
+            program: segment
+            for program, segment in self.first_segments.items()
+            if program in known
         }
         for program in known:
-            self.base_of.setdefault(program, self.floor)
+            self.first_segments.setdefault(program, self.oldest_segment)
 
-    def oldest(self) -> list[str]:
+    def oldest_programs(self) -> list[str]:
         """Give the programs whose records begin earliest."""
-        return sorted(self.base_of, key=self.base_of.__getitem__)[:SNAPSHOTS_PER_ROUND]
+        return sorted(self.first_segments, key=self.first_segments.__getitem__)[
+            :MAX_SNAPSHOTS_PER_ROUND
+        ]
 
-    async def rewrite(self, program_id: str) -> None:
+    async def rewrite_program(self, program_id: str) -> None:
         """Write one program's whole state again, under its lock."""
         live = self.owner.find(program_id)
         async with live.lock:
             snapshot = snapshot_of(live.program)
-            base = self.journal.next_segment
+            segment = self.journal.next_segment
             await self.journal.commit([snapshot])
-            self.base_of[program_id] = base
+            self.first_segments[program_id] = segment
 
     async def rewrite_claims(self) -> None:
         """Write all claims again; they are small and expire soon."""
@@ -92,24 +96,24 @@
             Claimed(caller, key, program)
             for (caller, key), program in self.owner.book.claims.items()
         ]
-        base = self.journal.next_segment
+        segment = self.journal.next_segment
         if claims:
             await self.journal.commit(claims)
-        self.claims_base = base
+        self.claims_segment = segment
 
-    def needed_floor(self) -> int:
+    def first_needed_segment(self) -> int:
         """Give the first segment that is still needed.
 
         The last segments stay, since they name the witnesses.
         """
-        newest = max(self.journal.next_segment - 2, 1)
-        return min([newest, self.claims_base, *self.base_of.values()])
+        keep_from = max(self.journal.next_segment - 2, 1)
+        return min([keep_from, self.claims_segment, *self.first_segments.values()])
 
-    async def delete_below(self, floor: int) -> None:
+    async def delete_segments_before(self, number: int) -> None:
         """Delete the segments before a number."""
-        while self.floor < floor:
+        while self.oldest_segment < number:
             if self.journal.write_limiter is not None:
                 await self.journal.write_limiter.acquire()
-            key = segment_key(self.owner.parts.incarnation, self.floor)
+            key = segment_key(self.owner.parts.incarnation, self.oldest_segment)
             await self.store.delete(key)
-            self.floor += 1
+            self.oldest_segment += 1
--- a/pollenwalk/process/directory.py
+++ b/pollenwalk/process/directory.py
@@ -16,7 +16,7 @@
 from pollenwalk.process.store import ObjectStore, StoredObject
 
 PREFIX = 'entries/'
-MAX_CHAIN = 1000
+MAX_SUCCESSORS = 1000
 
 
 class EntryRecord(NamedTuple):
@@ -63,10 +63,10 @@
     Source: D. Thaler and C. Ravishankar, "Using name-based mappings to
     increase hit rates" (1998).
     """
-    return sorted(names, key=lambda name: weight(key, name), reverse=True)
+    return sorted(names, key=lambda name: rendezvous_weight(key, name), reverse=True)
 
 
-def weight(key: str, name: str) -> bytes:
+def rendezvous_weight(key: str, name: str) -> bytes:
     """Give a name's weight for a key."""
     return hashlib.blake2b(f'{key}\0{name}'.encode(), digest_size=8).digest()
 
@@ -107,7 +107,7 @@
     def resolve_owner(self, incarnation: str) -> EntryRecord | None:
         """Follow the successors of an incarnation to the present owner."""
         record = self.records.get(incarnation)
-        for _ in range(MAX_CHAIN):
+        for _ in range(MAX_SUCCESSORS):
             if record is None or not record.successor:
                 return record
             record = self.records.get(record.successor)
@@ -132,11 +132,13 @@
             if record.incarnation != incarnation
         }
         ranked = rendezvous(incarnation, others)
-        near = [name for name in ranked if others[name].region == watched.region]
-        far = [name for name in ranked if others[name].region != watched.region]
-        return [others[name] for name in [*near, *far][:count]]
+        same_region = [name for name in ranked if others[name].region == watched.region]
+        other_regions = [
+            name for name in ranked if others[name].region != watched.region
+        ]
+        return [others[name] for name in [*same_region, *other_regions][:count]]
 
-    def witnesses(self, incarnation: str, count: int) -> list[EntryRecord]:
+    def witness_candidates(self, incarnation: str, count: int) -> list[EntryRecord]:
         """Give the entries that should hold one's batches.
 
         Other zones of the same region go first: near, yet not lost with it.
--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -334,7 +334,7 @@
             if not others:
                 break
             for other in others:
-                if await self.service.ask_handover(other):
+                if await self.service.request_handover(other):
                     return
             await self.clock.sleep_ms(CHECK_INTERVAL_MS)
         self.journal.handing_over = False
--- a/pollenwalk/process/entry_monitor.py
+++ b/pollenwalk/process/entry_monitor.py
@@ -51,7 +51,7 @@
         failed = self.entry.journal.failed_witnesses()
         refs = [
             WitnessRef(record.incarnation, record.address)
-            for record in self.entry.directory.witnesses(
+            for record in self.entry.directory.witness_candidates(
                 self.entry.incarnation, count + 1
             )
         ]
--- a/pollenwalk/process/entry_service.py
+++ b/pollenwalk/process/entry_service.py
@@ -45,7 +45,7 @@
     async def handle(self, hello: Hello, message: Any) -> AsyncIterator[Any]:
         """Answer one question of another entry."""
         if isinstance(message, CallProgram):
-            self.check_here(message.program)
+            self.check_owned(message.program)
             async for item in self.call(message):
                 yield item
             return
@@ -66,19 +66,19 @@
         if isinstance(message, WitnessSeal):
             return self.entry.witness_log.seal(message)
         if isinstance(message, HandOver):
-            return await self.hand_over(message)
+            return await self.accept_handover(message)
         if isinstance(message, Beat):
             return Done()
         if isinstance(message, ClaimKey):
             return await self.claim(message)
-        return await self.about_program(message)
+        return await self.answer_about_program(message)
 
-    async def about_program(self, message: Any) -> View:
+    async def answer_about_program(self, message: Any) -> View:
         """Answer a forwarded question about a program."""
         if isinstance(message, BeginProgram):
-            self.check_here(message.parent or message.program)
+            self.check_owned(message.parent or message.program)
         elif isinstance(message, ViewProgram | ViewCall | EndProgram):
-            self.check_here(message.program)
+            self.check_owned(message.program)
         else:
             raise Refusal(RefusalCode.PROTOCOL, f'unexpected {type(message)}')
         try:
@@ -86,7 +86,7 @@
         except Fenced as error:
             raise OwnerUnreachable() from error
 
-    def check_here(self, program_id: str) -> None:
+    def check_owned(self, program_id: str) -> None:
         """Refuse what is not ours without a word on whether it ran."""
         if self.entry.routing.is_here(program_id):
             return
@@ -103,7 +103,7 @@
         except Fenced as error:
             raise OwnerUnreachable() from error
 
-    async def hand_over(self, message: HandOver) -> Done:
+    async def accept_handover(self, message: HandOver) -> Done:
         """Take over the programs of an entry that stops.
 
         Raises:
@@ -117,7 +117,7 @@
             )
         return Done()
 
-    async def ask_handover(self, successor: EntryRecord) -> bool:
+    async def request_handover(self, successor: EntryRecord) -> bool:
         """Ask another entry to take over this one's programs."""
         message = HandOver(self.entry.incarnation)
         try:
--- a/pollenwalk/process/maintenance.py
+++ b/pollenwalk/process/maintenance.py
@@ -10,12 +10,12 @@
 from pollenwalk.program.records import Dropped
 from pollenwalk.version.resources import ProgramSpec
 
-RENEW_MS = 5000
+RENEW_INTERVAL_MS = 5000
 RELEASE_TIMEOUT_MS = 2000
 RELEASE_ATTEMPTS = 5
-SWEEP_MS = 2000
-RETAIN_MS = 600_000
-DROP_WAIT_MS = 2000
+SWEEP_INTERVAL_MS = 2000
+RETENTION_MS = 600_000
+DROP_COMMIT_TIMEOUT_MS = 2000
 
 
 class ProgramMaintenance:
@@ -42,13 +42,13 @@
             pending = [
                 address
                 for address in pending
-                if not await self.released(address, program.id)
+                if not await self.release_at(address, program.id)
             ]
             if not pending:
                 return
             await self.parts.clock.sleep_ms(RELEASE_TIMEOUT_MS)
 
-    async def released(self, address: str, program_id: str) -> bool:
+    async def release_at(self, address: str, program_id: str) -> bool:
         """Ask one sidecar; tell whether it has returned the memory."""
         try:
             await self.parts.peers(address).ask(
@@ -62,36 +62,36 @@
     async def renew(self) -> None:
         """Renew the leases on engine memory, one message a sidecar."""
         while True:
-            for address, programs in self.holdings().items():
+            for address, programs in self.programs_by_sidecar().items():
                 self.owner.tasks.spawn(self.renew_at(address, programs), 'renew_at')
-            await self.parts.clock.sleep_ms(RENEW_MS)
+            await self.parts.clock.sleep_ms(RENEW_INTERVAL_MS)
 
-    def holdings(self) -> dict[str, list[str]]:
+    def programs_by_sidecar(self) -> dict[str, list[str]]:
         """Give the running programs by the sidecars that hold for them."""
-        holdings: dict[str, list[str]] = {}
+        programs_by_sidecar: dict[str, list[str]] = {}
         for program in self.owner.book.programs.values():
             if program.ended:
                 continue
             for address in program.holders:
-                holdings.setdefault(address, []).append(program.id)
-        return holdings
+                programs_by_sidecar.setdefault(address, []).append(program.id)
+        return programs_by_sidecar
 
     async def renew_at(self, address: str, programs: list[str]) -> None:
         """Renew at one sidecar; a lost message only shortens the lease."""
         try:
-            await self.parts.peers(address).ask(Renew(programs), RENEW_MS)
+            await self.parts.peers(address).ask(Renew(programs), RENEW_INTERVAL_MS)
         except (ConnectionLost, Refusal):
             logger.debug('renew_lost', address=address)
 
     async def sweep(self) -> None:
         """End idle programs and drop ended ones after their retention."""
         while True:
-            await self.parts.clock.sleep_ms(SWEEP_MS)
+            await self.parts.clock.sleep_ms(SWEEP_INTERVAL_MS)
             self.owner.drop_claims()
             for program in list(self.owner.book.programs.values()):
-                await self.sweep_one(program)
+                await self.sweep_program(program)
 
-    async def sweep_one(self, program: Program) -> None:
+    async def sweep_program(self, program: Program) -> None:
         """End or drop one program if it is time."""
         now_ms = self.parts.clock.now_ms()
         live = self.owner.find(program.id)
@@ -103,18 +103,18 @@
                     await self.owner.end(program.id)
                 return
             ended_ms = self.ended_ms.setdefault(program.id, now_ms)
-            if now_ms - ended_ms > RETAIN_MS:
-                await self.drop(live)
+            if now_ms - ended_ms > RETENTION_MS:
+                await self.drop_program(live)
         except PollenwalkError as error:
             logger.debug('sweep_put_off', program=program.id, reason=str(error))
 
-    async def drop(self, live: LiveProgram) -> None:
+    async def drop_program(self, live: LiveProgram) -> None:
         """Forget an ended program."""
         program_id = live.program.id
         await self.parts.recorder.record(
             live,
             lambda: [Dropped(program_id)],
-            DROP_WAIT_MS,
+            DROP_COMMIT_TIMEOUT_MS,
         )
         self.owner.live.pop(program_id, None)
         self.ended_ms.pop(program_id, None)
--- a/pollenwalk/process/peers.py
+++ b/pollenwalk/process/peers.py
@@ -16,27 +16,27 @@
         self.tasks = tasks
         self.incarnation = ''
         self.zone = ''
-        self.known: dict[str, Peer] = {}
+        self.by_address: dict[str, Peer] = {}
 
     def identify(self, incarnation: str, zone: str) -> None:
         """Set who this process is; earlier connections are dropped."""
         self.incarnation = incarnation
         self.zone = zone
-        earlier = self.known
-        self.known = {}
-        for peer in earlier.values():
+        old_peers = self.by_address
+        self.by_address = {}
+        for peer in old_peers.values():
             self.tasks.spawn(peer.close(), 'peer_close')
 
     def at(self, address: str) -> Peer:
         """Give the peer at an address."""
-        peer = self.known.get(address)
+        peer = self.by_address.get(address)
         if peer is None:
             peer = Peer(address, self.network, self.clock, self.tasks)
             peer.identify(self.incarnation, self.zone)
-            self.known[address] = peer
+            self.by_address[address] = peer
         return peer
 
     async def close(self) -> None:
         """Close all connections."""
-        for peer in list(self.known.values()):
+        for peer in list(self.by_address.values()):
             await peer.close()
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -18,7 +18,7 @@
 from pollenwalk.request.call import LiveCall
 from pollenwalk.request.dispatch import Resolver
 
-RECOVERY_MS = 30_000
+RECOVERY_TIMEOUT_MS = 30_000
 
 
 class Recovery:
@@ -35,7 +35,7 @@
             live = self.owner.find(program.id)
             live.doubtful = program.next_sequence
             for intent in list(program.intents.values()):
-                call = LiveCall(request_of(intent), self.parts.clock)
+                call = LiveCall(rebuild_request(intent), self.parts.clock)
                 live.calls[intent.key] = call
                 live.tasks[intent.key] = self.owner.tasks.spawn(
                     self.recover_call(live, call, intent),
@@ -59,15 +59,15 @@
             self.parts.clock,
             intent.boot,
         )
-        until_ms = self.parts.clock.now_ms() + RECOVERY_MS
+        until_ms = self.parts.clock.now_ms() + RECOVERY_TIMEOUT_MS
         try:
             answer = await resolver.resolve(call, intent.incarnation, until_ms)
             if answer is None:
-                await self.withdraw(live, call, intent)
+                await self.record_withdrawn(live, call, intent)
             else:
-                await self.recovered(live, call, intent, answer)
+                await self.record_ending(live, call, intent, answer)
         except Refusal as refusal:
-            await self.recovered(live, call, intent, refusal)
+            await self.record_ending(live, call, intent, refusal)
         except PollenwalkError as error:
             call.refuse(error)
         finally:
@@ -75,7 +75,7 @@
             live.tasks.pop(intent.key, None)
             live.notify()
 
-    async def withdraw(
+    async def record_withdrawn(
         self,
         live: LiveProgram,
         call: LiveCall,
@@ -100,7 +100,7 @@
             ),
         )
 
-    async def recovered(
+    async def record_ending(
         self,
         live: LiveProgram,
         call: LiveCall,
@@ -111,7 +111,7 @@
         answer = ending if isinstance(ending, Answer) else None
         refusal = ending if isinstance(ending, Refusal) else None
         if refusal is not None and refusal.outcome == Outcome.NOT_RUN:
-            await self.withdraw(live, call, intent)
+            await self.record_withdrawn(live, call, intent)
             return
         entries = []
         if answer is not None:
@@ -135,7 +135,7 @@
         call.finish(live.program.finished[intent.key])
 
 
-def request_of(intent: Intended) -> CallProgram:
+def rebuild_request(intent: Intended) -> CallProgram:
     """Rebuild the request that an intent stands for."""
     return CallProgram(
         intent.program,
@@ -144,5 +144,5 @@
         intent.upstream,
         intent.operation,
         intent.argument,
-        deadline_in_ms=RECOVERY_MS,
+        deadline_in_ms=RECOVERY_TIMEOUT_MS,
     )
--- a/pollenwalk/process/segments.py
+++ b/pollenwalk/process/segments.py
@@ -49,14 +49,14 @@
     segments: dict[int, Segment]
 
     @property
-    def last_number(self) -> int:
+    def last_segment_number(self) -> int:
         """Give the number of the last segment; 0 for an empty journal."""
         return max(self.segments, default=0)
 
     @property
     def sealed_by(self) -> str:
         """Give who sealed the journal; empty while it is open."""
-        last = self.segments.get(self.last_number)
+        last = self.segments.get(self.last_segment_number)
         return last.sealed_by if last else ''
 
     @property
@@ -112,10 +112,13 @@
     """
     changes = await store.scan(journal_prefix(incarnation))
     return JournalContent(
-        {number_of(stored): decode_segment(stored.body) for stored in changes.objects},
+        {
+            segment_number(stored): decode_segment(stored.body)
+            for stored in changes.objects
+        },
     )
 
 
-def number_of(stored: StoredObject) -> int:
+def segment_number(stored: StoredObject) -> int:
     """Read a segment's number off its name."""
     return int(stored.key.rpartition('/')[2])
--- a/pollenwalk/process/takeover.py
+++ b/pollenwalk/process/takeover.py
@@ -30,8 +30,8 @@
     decode_records,
 )
 
-WITNESS_PATIENCE_MS = 15_000
-WITNESS_PAUSE_MS = 500
+WITNESS_SEAL_TIMEOUT_MS = 15_000
+WITNESS_RETRY_MS = 500
 
 
 class SealedJournal(NamedTuple):
@@ -80,7 +80,9 @@
         """
         while True:
             content = await read_journal(self.store, dead)
-            if content.sealed_by and not await self.is_orphan(dead, content.sealed_by):
+            if content.sealed_by and not await self.is_orphaned_seal(
+                dead, content.sealed_by
+            ):
                 return content.sealed_by
             if await self.seal(dead, content):
                 return self.successor
@@ -98,14 +100,14 @@
             content.witnesses,
             self.successor,
         )
-        key = segment_key(dead, content.last_number + 1)
+        key = segment_key(dead, content.last_segment_number + 1)
         body = encode_segment(seal)
-        ours = await create_once(self.store, self.clock, key, body)
-        if ours:
+        created = await create_once(self.store, self.clock, key, body)
+        if created:
             logger.info('journal_sealed', dead=dead, by=self.successor)
-        return ours
+        return created
 
-    async def is_orphan(self, dead: str, owner_id: str) -> bool:
+    async def is_orphaned_seal(self, dead: str, owner_id: str) -> bool:
         """Tell whether the owner of a seal can never adopt any more.
 
         That is so once its own journal is sealed without the adoption in it.
@@ -130,19 +132,19 @@
         if not witnesses:
             return SealedJournal(content, [], tail_lost=False)
         message = WitnessSeal(dead, content.last_batch)
-        until_ms = self.clock.now_ms() + WITNESS_PATIENCE_MS
+        until_ms = self.clock.now_ms() + WITNESS_SEAL_TIMEOUT_MS
         while True:
-            held = await self.seal_any(content, message)
+            held = await self.seal_first_reachable(content, message)
             if held is not None:
                 break
             if self.clock.now_ms() > until_ms:
                 logger.error('journal_tail_lost', dead=dead)
                 return SealedJournal(content, [], tail_lost=True)
-            await self.clock.sleep_ms(WITNESS_PAUSE_MS)
+            await self.clock.sleep_ms(WITNESS_RETRY_MS)
         records = [record for batch in held.batches for record in decode_records(batch)]
         return SealedJournal(content, records, tail_lost=False)
 
-    async def seal_any(
+    async def seal_first_reachable(
         self,
         content: JournalContent,
         message: WitnessSeal,
@@ -164,21 +166,21 @@
     that adoption was completed.
     """
     book = ProgramBook()
-    arriving: dict[str, list[Snapshot]] = {}
+    pending_snapshots: dict[str, list[Snapshot]] = {}
     for record in sealed.records():
         if isinstance(record, Snapshot) and record.origin:
-            arriving.setdefault(record.origin, []).append(record)
+            pending_snapshots.setdefault(record.origin, []).append(record)
         elif isinstance(record, Adopted):
-            for snapshot in arriving.pop(record.incarnation, []):
+            for snapshot in pending_snapshots.pop(record.incarnation, []):
                 book.apply(snapshot)
         else:
             book.apply(record)
     for program in book.programs.values():
-        mark_replayed(program, sealed.tail_lost)
+        account_for_losses(program, sealed.tail_lost)
     return book
 
 
-def mark_replayed(program: Program, tail_lost: bool) -> None:
+def account_for_losses(program: Program, tail_lost: bool) -> None:
     """Count what a dead home may have spent, and note lost records."""
     if program.ended:
         return
--- a/pollenwalk/process/witness.py
+++ b/pollenwalk/process/witness.py
@@ -17,7 +17,7 @@
 from pollenwalk.errors import ConnectionLost, Refusal, RefusalCode
 from pollenwalk.process.segments import WitnessRef
 
-APPEND_TIMEOUT_MS = 1000
+WITNESS_TIMEOUT_MS = 1000
 
 
 class HeldBatches:
@@ -34,18 +34,18 @@
         """Give the number of the batch that should come next."""
         return self.first + len(self.batches)
 
-    def trim(self, base: int) -> None:
+    def drop_stored(self, base: int) -> None:
         """Drop batches that the store has."""
-        surplus = max(base + 1 - self.first, 0)
-        self.batches = self.batches[surplus:]
+        dropped = max(base + 1 - self.first, 0)
+        self.batches = self.batches[dropped:]
         self.first = max(self.first, base + 1)
 
     def append(self, message: WitnessAppend) -> None:
         """Add batches that follow without a gap."""
-        known = self.next_number - message.first
-        if known < 0:
+        already_held = self.next_number - message.first
+        if already_held < 0:
             raise Refusal(RefusalCode.STALE_SESSION, 'batches are missing')
-        self.batches.extend(message.batches[known:])
+        self.batches.extend(message.batches[already_held:])
 
 
 class WitnessLog:
@@ -64,7 +64,7 @@
         held = self.held.setdefault(message.incarnation, HeldBatches())
         if held.sealed:
             raise Refusal(RefusalCode.STALE_SESSION, 'sealed by a successor')
-        held.trim(message.base)
+        held.drop_stored(message.base)
         held.append(message)
         return Done()
 
@@ -72,7 +72,7 @@
         """Accept nothing more from a home and hand over what is held."""
         held = self.held.setdefault(message.incarnation, HeldBatches())
         held.sealed = True
-        held.trim(message.base)
+        held.drop_stored(message.base)
         return WitnessBatches(held.first, list(held.batches))
 
 
@@ -97,7 +97,7 @@
             if connection.boot != self.ref.incarnation:
                 self.failed = True
                 return False
-            await self.peer.ask(message, APPEND_TIMEOUT_MS)
+            await self.peer.ask(message, WITNESS_TIMEOUT_MS)
         except Refusal:
             self.failed = True
             return False
@@ -124,6 +124,6 @@
         connection = await peer.connected()
         if connection.boot != ref.incarnation:
             return None
-        return await peer.ask(message, APPEND_TIMEOUT_MS)
+        return await peer.ask(message, WITNESS_TIMEOUT_MS)
     except (ConnectionLost, Refusal):
         return None
