--- a/pollenwalk/process/owner_interface.py
+++ b/pollenwalk/process/owner_interface.py
@@ -1,4 +1,8 @@
-"""What the parts of a home's work need of the home, and of each other."""
+"""The program owner as seen by its components.
+
+A protocol, so that those who create, recover and maintain programs don't
+import the class that is built from them.
+"""
 
 from collections.abc import Coroutine
 from typing import Any, Protocol
@@ -10,13 +14,13 @@
 
 
 class OwnerInterface(Protocol):
-    """A home, as those who begin, recover and look after its programs see it.
+    """What creation, recovery and maintenance of programs need of the owner.
 
     Attributes:
-        parts: what all calls share.
-        book: the programs.
-        tasks: the background work.
-        live: the programs that are at work.
+        parts: services that all calls share.
+        book: the durable state of the programs.
+        tasks: background tasks.
+        live: state of the programs that is not durable, by program id.
     """
 
     parts: Parts
@@ -25,19 +29,19 @@
     live: dict[str, LiveProgram]
 
     def find(self, program_id: str) -> LiveProgram:
-        """Give a program of this home."""
+        """Return the live state of a program that this entry owns."""
 
     def check_accepts_work(self) -> None:
-        """Refuse new work while none can be taken."""
+        """Check that new programs and calls can be accepted."""
 
     async def run(self, live: LiveProgram, call: LiveCall) -> None:
-        """Run one call from its place in the order to its end."""
+        """Run a call to its end, once all earlier calls have ended."""
 
     async def end(self, program_id: str) -> Program:
-        """End a program."""
+        """End a program and its children."""
 
     def release(self, program: Program) -> Coroutine[Any, Any, None]:
-        """Ask every sidecar that holds a program's memory to return it."""
+        """Ask every sidecar that holds engine memory for a program to free it."""
 
     def drop_claims(self) -> None:
-        """Forget keys whose retention has passed."""
+        """Remove key claims that are older than their retention period."""
--- a/pollenwalk/process/program_creator.py
+++ b/pollenwalk/process/program_creator.py
@@ -1,4 +1,4 @@
-"""Beginning programs: keys, ids, and the limits of callers and parents."""
+"""Creates programs: idempotency keys, ids, and limits of callers and parents."""
 
 import asyncio
 from typing import NamedTuple
@@ -22,17 +22,22 @@
 
 
 class PendingProgram(NamedTuple):
-    """A program whose first record is on its way."""
+    """A program whose first record is not yet durable.
+
+    Attributes:
+        program: its id.
+        task: commits the record.
+    """
 
     program: str
     task: asyncio.Task[None]
 
 
 class ProgramCreator:
-    """Programs that begin at one home, and keys that it settles."""
+    """Creates the programs of one owner and records which keys are in use."""
 
     def __init__(self, owner: OwnerInterface) -> None:
-        """Begin programs at `home`."""
+        """Create programs for `owner`."""
         self.owner = owner
         self.parts = owner.parts
         self.pending: dict[tuple[str, str], PendingProgram] = {}
@@ -40,10 +45,12 @@
         self.claimed_ms: dict[tuple[str, str], float] = {}
 
     async def create(self, request: BeginProgram) -> Program:
-        """Begin a program; a repeat with the same key gives the same one.
+        """Create a program, or return the one that has the request's key.
 
         Raises:
-            Refusal: it is not declared, or a limit or budget forbids it.
+            Refusal: the program is not declared, a limit or budget is
+                exceeded, or its record did not become durable in time.
+            Fenced: a successor has sealed the journal; retry there.
         """
         existing = self.find_existing(request)
         if existing is not None:
@@ -63,11 +70,11 @@
         return self.created_program(pending_program.program)
 
     async def wait_durable(self, task: asyncio.Task[None]) -> None:
-        """Wait a bounded time for a commit that goes on in any case.
+        """Wait for a commit, which continues in the background after a timeout.
 
         Raises:
-            Refusal: it takes too long.
-            Fenced: this home has a successor; ask there.
+            Refusal: it took longer than `COMMIT_TIMEOUT_MS`.
+            Fenced: a successor has sealed the journal; retry there.
         """
         try:
             async with self.parts.clock.timeout_ms(COMMIT_TIMEOUT_MS):
@@ -76,10 +83,11 @@
             raise store_unavailable() from error
 
     def created_program(self, program_id: str) -> Program:
-        """Give a program whose record is durable.
+        """Return a program whose commit has ended.
 
         Raises:
-            Refusal: its parent had given its tokens away meanwhile.
+            Refusal: it was not created, as its parent had spent or given away
+                the tokens before the commit.
         """
         if program_id not in self.owner.book.programs:
             raise Refusal(
@@ -89,7 +97,7 @@
         return self.owner.find(program_id).program
 
     def find_existing(self, request: BeginProgram) -> Program | None:
-        """Give the program that was begun with this key or id."""
+        """Return the program that was created with this key or id."""
         book = self.owner.book
         program_id = request.program
         if request.key:
@@ -97,19 +105,19 @@
         return book.programs.get(program_id)
 
     async def claim(self, caller: str, key: str, program: str) -> str:
-        """Settle which program a key has begun; the first claim wins.
+        """Record which program an idempotency key creates; the first claim wins.
 
         Args:
-            caller: whose key it is.
-            key: the caller's key.
-            program: the claimed program; empty only asks.
+            caller: the caller whose key it is.
+            key: the idempotency key.
+            program: id of the claimed program; empty to look up only.
 
         Returns:
-            The program of the key; empty when it has none.
+            The id of the key's program, or an empty string if it has none.
 
         Raises:
             Refusal: the claim can't be made durable now.
-            Fenced: this home has a successor; ask there.
+            Fenced: a successor has sealed the journal; retry there.
         """
         identity = (caller, key)
         existing = self.owner.book.claims.get(identity)
@@ -127,23 +135,31 @@
         return self.owner.book.claims[identity]
 
     def check_repeat(self, program: Program, request: BeginProgram) -> Program:
-        """Check that a repeat asks for the same program."""
+        """Check that a repeated key comes with the same declaration.
+
+        Raises:
+            Refusal: the key was used for another declaration.
+        """
         if program.declaration != request.declaration:
             raise Refusal(
                 RefusalCode.KEY_REUSED,
-                'the key has begun another program',
+                'the key was used to create another program',
             )
         return program
 
     def new_id(self, incarnation: str = '') -> str:
-        """Make a program id that carries its home, this one unless named."""
+        """Return a new program id, which contains its first owner's incarnation.
+
+        Args:
+            incarnation: the first owner; empty for this entry.
+        """
         return new_program_id(
             incarnation or self.parts.incarnation,
             self.parts.dice,
         )
 
     def create_new(self, request: BeginProgram, spec: ProgramSpec) -> PendingProgram:
-        """Check the limits and start recording a new program."""
+        """Check the limits and start to commit the record of a new program."""
         program_id = request.program or self.new_id()
         limit = min(request.budget or spec.budget_tokens, spec.budget_tokens)
         self.check_limits(request, limit)
@@ -166,7 +182,7 @@
         return pending_program
 
     def record_creation(self, record: Begun) -> asyncio.Task[None]:
-        """Start to record a pending_program, a child's under its parent's lock."""
+        """Start to commit a program's first record, a child's under its parent's lock."""
         recorder = self.parts.recorder
         if not record.parent:
             return self.owner.tasks.spawn(recorder.commit([record]), 'begin')
@@ -176,16 +192,20 @@
         )
 
     def records_within_budget(self, parent: LiveProgram, record: Begun) -> list[Record]:
-        """Check the parent's budget again under its lock."""
+        """Return the record to commit, or nothing if the parent lacks the tokens.
+
+        Called under the parent's lock, as its budget may have changed since
+        the limits were checked.
+        """
         if record.limit > parent.program.budget.free:
             return []
         return [record]
 
     def check_limits(self, request: BeginProgram, limit: int) -> None:
-        """Check the parent's budget or the caller's.
+        """Check a child against its parent's budget, others against the caller's.
 
         Raises:
-            Refusal: the new program would go beyond it.
+            Refusal: a budget would be exceeded, or the upstreams are overloaded.
         """
         if request.parent:
             self.check_parent(request.parent, limit)
@@ -202,7 +222,7 @@
         if over or granted + limit > budget.tokens:
             raise Refusal(
                 RefusalCode.BUDGET_EXHAUSTED,
-                f'the limits of {request.caller} are reached',
+                f'the program or token limit of {request.caller} is reached',
                 retry_after_ms=RETRY_AFTER_MS,
             )
 
@@ -210,8 +230,8 @@
         """Refuse a new program while its model upstreams are overloaded.
 
         Raises:
-            Refusal: with a time to come back, drawn so that not all come
-                back at once.
+            Refusal: its retry delay is random, so that callers don't all retry
+                at once.
         """
         spec = self.parts.config.program(request.declaration)
         level = self.parts.config.level(spec.priority)
@@ -226,10 +246,10 @@
                 )
 
     def check_parent(self, parent_id: str, limit: int) -> None:
-        """Check that a parent can give so many tokens.
+        """Check that a parent is running and has `limit` free tokens.
 
         Raises:
-            Refusal: it has ended, or has too few.
+            Refusal: it has ended, or has too few tokens.
         """
         parent = self.owner.find(parent_id)
         if parent.program.ended or parent.ending:
@@ -241,7 +261,7 @@
             )
 
     def drop_claims(self) -> None:
-        """Forget keys whose retention has passed."""
+        """Remove key claims that are older than `CLAIM_RETENTION_MS`."""
         now_ms = self.parts.clock.now_ms()
         for identity in list(self.owner.book.claims):
             claimed_ms = self.claimed_ms.setdefault(identity, now_ms)
--- a/pollenwalk/process/program_owner.py
+++ b/pollenwalk/process/program_owner.py
@@ -1,7 +1,7 @@
-"""The programs whose home this process is.
+"""The owner of programs: orders and runs their calls and keeps their state.
 
-The home is the one place that orders a program's calls, accounts its budget
-and keeps its history and answers.
+Each program has exactly one owner at a time, the entry that orders its calls,
+accounts for its token budget and keeps its history and answers.
 """
 
 from collections.abc import AsyncIterator, Coroutine, Iterator
@@ -45,6 +45,7 @@
 RECOVERY_MS = 30_000
 RETRY_AFTER_MS = 1000
 CONFIRM_TIMEOUT_MS = 1000
+# Refusals that concern the request alone, so they hold whoever owns the program.
 REQUEST_ERROR_CODES = frozenset(
     (
         RefusalCode.MALFORMED,
@@ -56,10 +57,10 @@
 
 
 class ProgramOwner:
-    """All programs of one incarnation."""
+    """The programs that one incarnation of an entry owns."""
 
     def __init__(self, parts: Parts, book: ProgramBook, tasks: TaskSet) -> None:
-        """Start with the programs in `book`."""
+        """Own the programs in `book`, without any running call."""
         self.parts = parts
         self.book = book
         self.tasks = tasks
@@ -71,23 +72,23 @@
         self.maintenance = ProgramMaintenance(self)
 
     def start(self) -> None:
-        """Start the background work."""
+        """Start the background tasks."""
         self.tasks.spawn(self.parts.recorder.send_settled(self.parts.peers), 'settle')
         self.maintenance.start()
 
     def release(self, program: Program) -> Coroutine[Any, Any, None]:
-        """Ask every sidecar that holds a program's memory to return it."""
+        """Ask every sidecar that holds engine memory for a program to free it."""
         return self.maintenance.release(program)
 
     def drop_claims(self) -> None:
-        """Forget keys whose retention has passed."""
+        """Remove key claims that are older than their retention period."""
         self.program_creator.drop_claims()
 
     def find(self, program_id: str) -> LiveProgram:
-        """Give a program of this home.
+        """Return the live state of a program, which is created if missing.
 
         Raises:
-            Refusal: there is no such program.
+            Refusal: this entry does not own such a program.
         """
         program = self.book.programs.get(program_id)
         if program is None:
@@ -99,7 +100,12 @@
         return live
 
     def check_accepts_work(self) -> None:
-        """Refuse new work while stopping or while nothing can be recorded."""
+        """Check that new programs and calls can be accepted.
+
+        Raises:
+            Refusal: the entry is stopping, or the journal can't be written.
+            Fenced: a successor has sealed the journal.
+        """
         if self.stopping:
             raise Refusal(
                 RefusalCode.STOPPING,
@@ -112,14 +118,14 @@
             raise store_unavailable()
 
     async def call(self, request: CallProgram) -> AsyncIterator[Tokens | Answer]:
-        """Run a call, or attach to it, or replay its kept answer.
+        """Run a call, attach to it while it runs, or replay its kept answer.
 
         Yields:
-            Tokens as they come, and the answer last.
+            Tokens as they arrive, then the answer.
 
         Raises:
-            Refusal: with an outcome that tells whether the call ran.
-            Fenced: this home has a successor; ask there.
+            Refusal: its outcome says whether the call ran.
+            Fenced: a successor owns the program; retry there.
         """
         check_request(request)
         try:
@@ -131,28 +137,31 @@
             raise doubted(refusal) from refusal
 
     async def verify_not_run(self, refusal: Refusal, request: CallProgram) -> bool:
-        """Tell whether a refusal's 'not run' is surely true.
+        """Return whether a refusal's outcome can be passed on unchanged.
 
-        A successor may have run the very call that is refused here, or an
-        earlier try of a call that may be repeated may have run.
+        The outcome 'not run' needs proof: a successor may have run the call
+        that is refused here, or an earlier attempt of an idempotent call may
+        have run.
 
         Raises:
-            Fenced: this home has a successor; ask there.
+            Fenced: a successor owns the program; retry there.
         """
         if refusal.outcome != Outcome.NOT_RUN or refusal.code in REQUEST_ERROR_CODES:
             return True
         live = self.live.get(request.program)
         upstream = self.parts.config.upstream(request.upstream)
-        repeatable = upstream is not None and (request.operation in upstream.idempotent)
-        if repeatable and live is not None and live.may_have_run(request):
+        idempotent = upstream is not None and (request.operation in upstream.idempotent)
+        if idempotent and live is not None and live.may_have_run(request):
             return False
         return await self.confirm_ownership()
 
     async def confirm_ownership(self) -> bool:
-        """Tell whether this home surely still owns its programs.
+        """Return whether this entry has just proven that it owns its programs.
+
+        False means that neither the store nor the witnesses answered in time.
 
         Raises:
-            Fenced: this home has a successor; ask there.
+            Fenced: a successor owns the programs; retry there.
         """
         try:
             await self.parts.recorder.confirm(CONFIRM_TIMEOUT_MS)
@@ -161,7 +170,12 @@
         return True
 
     async def follow_call(self, request: CallProgram) -> AsyncIterator[Tokens | Answer]:
-        """Find or start a call and follow it to its end."""
+        """Find or start a call and yield its tokens and its answer.
+
+        Raises:
+            Refusal: the call was refused or failed.
+            Fenced: a successor owns the program.
+        """
         live = self.find(request.program)
         live.used_ms = self.parts.clock.now_ms()
         call = self.find_or_accept(live, request)
@@ -182,7 +196,12 @@
         live: LiveProgram,
         request: CallProgram,
     ) -> LiveCall | FinishedCall:
-        """Find the call of a key, or accept it as a new one."""
+        """Return the running or finished call of a key, or accept a new call.
+
+        Raises:
+            Refusal: the key was used for another request, or the new call
+                is not acceptable.
+        """
         call = LiveCall(request, self.parts.clock)
         known = live.calls.get(request.key)
         finished = live.program.finished.get(request.key)
@@ -196,7 +215,7 @@
         return call
 
     def accept(self, live: LiveProgram, call: LiveCall) -> None:
-        """Check a new call and start its task."""
+        """Check a new call and start the task that runs it."""
         self.check_accepts_work()
         self.check_operation(live, call.request)
         live.admit(call.request)
@@ -206,7 +225,7 @@
         live.tasks[key] = self.tasks.spawn(self.run(live, call), 'call')
 
     def check_operation(self, live: LiveProgram, request: CallProgram) -> None:
-        """Check the upstream and the operation against the declarations."""
+        """Check that a call's upstream, operation and input are as declared."""
         spec = self.parts.config.program(live.program.declaration)
         upstream = self.parts.config.upstream(request.upstream)
         if spec is None or upstream is None or request.upstream not in spec.upstreams:
@@ -225,15 +244,15 @@
             check_chat(request.argument)
 
     def check_loops(self, live: LiveProgram, call: LiveCall) -> None:
-        """Stop a program that repeats itself or goes on without end."""
+        """Refuse a call beyond `max_calls` or repeated `loop_limit` times."""
         spec = self.parts.config.program(live.program.declaration)
         if call.request.sequence > spec.max_calls:
             raise Refusal(
                 RefusalCode.LOOP_LIMIT,
-                f'a run may make {spec.max_calls} calls',
+                f'a program may make at most {spec.max_calls} calls',
             )
         recent = list(live.program.finished.values())[-spec.loop_limit :]
-        repeats = [one for one in recent if one.digest == call.digest]
+        repeats = [finished for finished in recent if finished.digest == call.digest]
         if len(repeats) >= spec.loop_limit:
             raise Refusal(
                 RefusalCode.LOOP_LIMIT,
@@ -241,7 +260,7 @@
             )
 
     async def run(self, live: LiveProgram, call: LiveCall) -> None:
-        """Run one call from its place in the order to its end."""
+        """Run a call to its end, once all earlier calls have ended."""
         try:
             await live.take_turn(call)
             call.finish(await Execution(self.parts, live, call).run())
@@ -256,7 +275,7 @@
             live.notify()
 
     def refuse_open_calls(self) -> None:
-        """Let all calls go on at the successor: nothing counts here now."""
+        """Refuse all open calls after a takeover, to be retried at the successor."""
         for live in self.live.values():
             for call in list(live.calls.values()):
                 call.refuse(sealed())
@@ -264,9 +283,15 @@
                 task.cancel()
 
     async def end(self, program_id: str) -> Program:
-        """End a program: cancel what may be cancelled, free its memory.
+        """End a program and its children, and free their engine memory.
+
+        Open calls are cancelled, except those with a recorded intent, which
+        are not idempotent and are waited for.
 
-        A non-idempotent call that runs is waited for.
+        Raises:
+            Refusal: there is no such program, or the journal can't be
+                written within `END_COMMIT_TIMEOUT_MS`.
+            Fenced: a successor owns the program.
         """
         live = self.find(program_id)
         if live.program.ended:
@@ -285,7 +310,7 @@
         return live.program
 
     def running_children(self, program_id: str) -> list[Program]:
-        """Give the sub-agents of a program that still run."""
+        """Return the child programs that have not ended."""
         return [
             program
             for program in self.book.programs.values()
@@ -293,7 +318,7 @@
         ]
 
     async def stop_calls(self, live: LiveProgram) -> None:
-        """Cancel running calls that may be repeated, wait for the others."""
+        """Cancel the calls without a recorded intent and wait for the others."""
         for key, task in list(live.tasks.items()):
             if key not in live.program.intents:
                 task.cancel()
@@ -302,14 +327,14 @@
 
 
 def replayed_tokens(finished: FinishedCall, offset: int) -> Iterator[Tokens]:
-    """Give a kept model answer as tokens, for a stream from the beginning."""
+    """Yield a kept model answer as one `Tokens`, for a stream from offset 0."""
     text = finished.answer.output.get('text') if finished.answer else None
     if isinstance(text, str) and text and not offset:
         yield Tokens(0, [text])
 
 
 def check_same_request(digest: str, sequence: int, call: LiveCall) -> None:
-    """Check that a repeated key comes with the same request.
+    """Check that a repeated key comes with the same request and sequence.
 
     Raises:
         Refusal: the key was used for another request.
@@ -325,20 +350,20 @@
     """Check the input of a model call.
 
     Raises:
-        Refusal: a part is missing or of the wrong type.
+        Refusal: a field is missing or of the wrong type.
     """
     message = argument.get('message')
     if not isinstance(message, str) or not message:
-        raise Refusal(RefusalCode.MALFORMED, 'input.message must be a text')
+        raise Refusal(RefusalCode.MALFORMED, 'input.message must be a non-empty string')
     max_tokens = argument.get('max_tokens', 1)
     if not isinstance(max_tokens, int) or max_tokens < 1:
         raise Refusal(
             RefusalCode.MALFORMED,
-            'input.max_tokens must be a whole number from 1 on',
+            'input.max_tokens must be an integer of at least 1',
         )
 
 
 def cancelled_refusal(call: LiveCall) -> Refusal:
-    """Describe a call that its program's end cut short."""
+    """Return the refusal of a call that was cancelled by its program's end."""
     outcome = Outcome.RAN if call.running else Outcome.NOT_RUN
     return Refusal(RefusalCode.CANCELLED, 'the program was ended', outcome)
