--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -1,4 +1,4 @@
-"""An entry: takes callers' requests and is home to a share of the programs."""
+"""An entry: serves callers' requests and owns a share of the programs."""
 
 import random
 from typing import Any, NamedTuple
@@ -62,16 +62,16 @@
 
 
 class EntrySettings(NamedTuple):
-    """Where an entry runs.
+    """The settings of an entry.
 
     Attributes:
-        address: `ip:port` for peers, TCP and UDP.
+        address: `ip:port` where peers reach it, by TCP and UDP.
         zone: its availability zone.
         regions: the region of each zone.
-        witnesses: how many other entries hold its batches; fewer than that
-            many other entries alive means none.
-        journal_interval_ms: shortest time between two segments.
-        store_writes_per_second: of all entries together.
+        witnesses: how many other entries keep copies of its journal batches;
+            none do while fewer than that many other entries are usable.
+        journal_interval_ms: minimum time between two journal segments.
+        store_writes_per_second: write budget of all entries together.
     """
 
     address: str
@@ -83,7 +83,7 @@
 
 
 class Entry:
-    """One start of an entry."""
+    """An entry, which continues as a new incarnation after a takeover."""
 
     def __init__(
         self,
@@ -96,7 +96,7 @@
         placement: Placement | None = None,
         hosts: HostList | None = None,
     ) -> None:
-        """Put the parts together; nothing is started yet."""
+        """Create the components; `start` starts them."""
         self.settings = settings
         self.network = network
         self.store = store
@@ -124,18 +124,18 @@
         self.start_incarnation()
 
     async def take_over(self, dead: str) -> bool:
-        """Take a dead entry over; a silent store puts it off."""
+        """Take over a dead entry, and return whether its programs are here now."""
         return await self.entry_monitor.take_over(dead)
 
     @property
     def location(self) -> Location:
-        """Give where this entry is."""
+        """Return this entry's zone and region."""
         zone = self.settings.zone
         return Location(zone, self.settings.regions.get(zone, ''))
 
     @property
     def own_record(self) -> EntryRecord:
-        """Give this entry's record as written at its start."""
+        """Return this entry's record as it is written at registration."""
         return EntryRecord(
             self.incarnation,
             self.settings.address,
@@ -145,7 +145,7 @@
         )
 
     def start_incarnation(self) -> None:
-        """Begin a new incarnation with no programs."""
+        """Create the components of a new incarnation, which owns no programs."""
         self.incarnation = f'{self.dice.getrandbits(ID_BITS):012x}'
         self.started_ms = self.clock.wall_ms()
         self.peers.identify(self.incarnation, self.settings.zone)
@@ -200,7 +200,7 @@
         self.server = PeerServer(self.clock, self.service.handle, self.incarnation)
 
     async def start(self) -> None:
-        """Listen, register and begin to work."""
+        """Start the listeners and the background tasks, registration included."""
         address = self.settings.address
         self.listeners = [
             await self.network.listen(address, self.serve),
@@ -217,11 +217,15 @@
             self.tasks.spawn(following, 'hosts')
 
     async def serve(self, channel: Any) -> None:
-        """Serve a peer's channel under the present incarnation."""
+        """Serve a peer's channel as the current incarnation."""
         await self.server.serve(channel)
 
     async def register(self) -> None:
-        """Write this incarnation's record, then be home to programs."""
+        """Write this incarnation's record, then start to own programs.
+
+        Waits until the record has been read back and the configuration has
+        been read once.
+        """
         own_record = self.own_record
         key = record_key(own_record.incarnation)
         await create_once(self.store, self.clock, key, encode_record(own_record))
@@ -236,21 +240,24 @@
         logger.info('entry_ready', incarnation=own_record.incarnation)
 
     async def try_refresh(self) -> None:
-        """Read the directory once; a silent store is asked again later."""
+        """Read the directory once; if the store does not answer, pause."""
         try:
             await self.directory.refresh()
         except StoreUnavailable:
             await self.clock.sleep_ms(CHECK_INTERVAL_MS)
 
     def leave_to_successor(self) -> None:
-        """Go on as a new incarnation: a successor has our programs."""
+        """Refuse open calls after a takeover.
+
+        Unless the entry is stopping, it restarts as a new incarnation.
+        """
         self.ready = False
         self.owner.refuse_open_calls()
         if not self.stopping:
             self.tasks.spawn(self.restart_incarnation(), 'reincarnate')
 
     async def restart_incarnation(self) -> None:
-        """Leave the old programs to their successor and register anew."""
+        """Close the old incarnation and register a new one without programs."""
         old_tasks = self.owner_tasks
         self.owner_tasks = TaskSet()
         await self.server.close()
@@ -259,13 +266,16 @@
         await old_tasks.cancel()
 
     def decides_acceptance(self) -> bool:
-        """Tell whether this entry is the one that judges wishes."""
+        """Return whether this entry decides which desired resources are accepted."""
         names = [record.incarnation for record in self.directory.live_entries()]
         ranked = rendezvous(ACCEPTANCE_KEY, names)
         return bool(ranked) and ranked[0] == self.incarnation
 
     def handle_datagram(self, payload: bytes, sender: str) -> None:
-        """Take a report or a heartbeat; noise is dropped."""
+        """Process a sidecar's report or an entry's heartbeat.
+
+        Datagrams that can't be decoded are dropped.
+        """
         try:
             message = decode_datagram(payload)
         except Refusal as refusal:
@@ -278,7 +288,10 @@
             self.reply_to_report(message)
 
     def reply_to_report(self, report: Report) -> None:
-        """Tell a sidecar which entries there are and what is in force."""
+        """Send a sidecar the entries to report to and its configuration.
+
+        Each is sent only if it differs from what the report says.
+        """
         entries = self.report_targets.entries_for(report, len(self.fleet.hosts))
         self.fleet.interval_ms = entries.interval_ms
         if entries.digest != report.digest and entries.addresses:
@@ -295,9 +308,9 @@
             )
 
     def push_upstream_config(self, accepted: Accepted) -> None:
-        """Send a newer declaration to its upstream's hosts at once.
+        """Send an upstream's accepted configuration to its sidecars.
 
-        A lost datagram is made up for by the next report.
+        If the datagram is lost, the reply to the next report repeats it.
         """
         if accepted.kind != Kind.UPSTREAM or accepted.spec is None:
             return
@@ -307,12 +320,15 @@
                 self.send(host.report.address, message)
 
     def send(self, address: str, message: Any) -> None:
-        """Send a datagram."""
+        """Send a message as a datagram."""
         payload = encode_datagram(message)
         self.network.send_datagram(self.settings.address, address, payload)
 
     async def stop(self) -> None:
-        """Stop gracefully: hand the programs over, finish what is open."""
+        """Hand the programs over, wait for open requests, and close.
+
+        Open requests are waited for at most `DRAIN_TIMEOUT_MS`.
+        """
         self.stopping = True
         await self.hand_over()
         until_ms = self.clock.now_ms() + DRAIN_TIMEOUT_MS
@@ -321,11 +337,16 @@
         await self.close()
 
     async def hand_over(self) -> None:
-        """Let another entry take over now, running calls included."""
+        """Ask another entry to take over the programs, running calls included.
+
+        If none does within `HANDOVER_DEADLINE_MS`, or there is none, this
+        entry keeps its programs and refuses new calls.
+        """
         if not self.ready or self.journal.fenced:
             return
         if self.directory.observers(self.incarnation, 1):
-            # What is under way shall arrive before the successor begins.
+            # Calls already dispatched should reach their sidecars before the
+            # successor starts.
             self.journal.handing_over = True
             await self.clock.sleep_ms(HANDOVER_GRACE_MS)
         until_ms = self.clock.now_ms() + HANDOVER_DEADLINE_MS
@@ -341,7 +362,7 @@
         self.owner.stopping = True
 
     async def close(self) -> None:
-        """End everything at once."""
+        """Cancel all tasks and close all connections at once."""
         self.ready = False
         await self.owner_tasks.cancel()
         await self.tasks.cancel()
--- a/pollenwalk/process/entry_interface.py
+++ b/pollenwalk/process/entry_interface.py
@@ -1,4 +1,8 @@
-"""What the parts of an entry's work need of the entry."""
+"""The entry as seen by its components.
+
+A protocol, so that the components don't import the class that is built from
+them.
+"""
 
 from typing import Protocol
 
@@ -16,19 +20,25 @@
 
 
 class MonitorSettings(Protocol):
-    """The settings of an entry that its neighbours matter for."""
+    """The settings that the monitoring of other entries needs.
+
+    Attributes:
+        address: `ip:port` where peers reach this entry.
+        witnesses: how many other entries keep copies of its journal batches.
+    """
 
     address: str
     witnesses: int
 
 
 class EntryInterface(Protocol):
-    """An entry, as those who answer its peers and watch them see it.
+    """What the entry's service and its monitoring of other entries need of it.
 
     Attributes:
-        incarnation: of this start.
-        ready: whether it takes programs.
-        stopping: whether it hands its programs over.
+        settings: its address and its number of witnesses.
+        incarnation: id of the current incarnation.
+        ready: whether it is registered and owns programs.
+        stopping: whether it is shutting down.
     """
 
     settings: MonitorSettings
@@ -49,7 +59,7 @@
 
     @property
     def own_record(self) -> EntryRecord:
-        """Give this entry's record as written at its start."""
+        """Return this entry's record as it is written at registration."""
 
     async def take_over(self, dead: str) -> bool:
-        """Take a dead entry over; a silent store puts it off."""
+        """Take over a dead entry, and return whether its programs are here now."""
--- a/pollenwalk/process/entry_service.py
+++ b/pollenwalk/process/entry_service.py
@@ -1,4 +1,4 @@
-"""What an entry answers to other entries."""
+"""Answers the requests of other entries."""
 
 from collections.abc import AsyncIterator
 from typing import Any
@@ -35,15 +35,22 @@
 
 
 class EntryService:
-    """Answers peers for one incarnation of an entry."""
+    """Answers requests of other entries for one incarnation of an entry."""
 
     def __init__(self, entry: EntryInterface) -> None:
-        """Answer for `entry`."""
+        """Answer on behalf of `entry`."""
         self.entry = entry
         self.owner = entry.owner
 
     async def handle(self, hello: Hello, message: Any) -> AsyncIterator[Any]:
-        """Answer one question of another entry."""
+        """Answer one request.
+
+        Yields:
+            The answer; for a call, tokens and then the answer.
+
+        Raises:
+            Refusal: the request failed, or this entry does not own the program.
+        """
         if isinstance(message, CallProgram):
             self.check_owned(message.program)
             async for item in self.call(message):
@@ -52,7 +59,12 @@
         yield await self.answer(message)
 
     async def call(self, message: CallProgram) -> AsyncIterator[Any]:
-        """Run a forwarded call; a home that was sealed says so."""
+        """Run a forwarded call.
+
+        Raises:
+            OwnerUnreachable: a successor owns the program; the sender should
+                look it up again.
+        """
         try:
             async for item in self.owner.call(message):
                 yield item
@@ -60,7 +72,7 @@
             raise OwnerUnreachable() from error
 
     async def answer(self, message: Any) -> Any:
-        """Answer a question that has one answer."""
+        """Answer a request that has a single answer."""
         if isinstance(message, WitnessAppend):
             return self.entry.witness_log.append(message)
         if isinstance(message, WitnessSeal):
@@ -74,7 +86,12 @@
         return await self.answer_about_program(message)
 
     async def answer_about_program(self, message: Any) -> View:
-        """Answer a forwarded question about a program."""
+        """Create, read or end a program for another entry.
+
+        Raises:
+            Refusal: the request failed.
+            OwnerUnreachable: this entry does not own the program.
+        """
         if isinstance(message, BeginProgram):
             self.check_owned(message.parent or message.program)
         elif isinstance(message, ViewProgram | ViewCall | EndProgram):
@@ -87,7 +104,11 @@
             raise OwnerUnreachable() from error
 
     def check_owned(self, program_id: str) -> None:
-        """Refuse what is not ours without a word on whether it ran."""
+        """Check that this entry owns a program.
+
+        Raises:
+            OwnerUnreachable: it does not; whether a call ran is unknown here.
+        """
         if self.entry.routing.is_here(program_id):
             return
         owner_record = self.entry.directory.resolve_owner(owner_of(program_id))
@@ -95,7 +116,7 @@
             raise OwnerUnreachable()
 
     async def claim(self, message: ClaimKey) -> Claim:
-        """Settle a key, or tell which program it has."""
+        """Claim an idempotency key for a program, or look up its program."""
         try:
             if message.program:
                 return Claim(await self.entry.routing.claim_here(message))
@@ -104,21 +125,25 @@
             raise OwnerUnreachable() from error
 
     async def accept_handover(self, message: HandOver) -> Done:
-        """Take over the programs of an entry that stops.
+        """Take over the programs of an entry that is stopping.
 
         Raises:
-            Refusal: it can't be done now; the other entry should ask again.
+            Refusal: the takeover is not possible now; the sender should retry.
         """
         if self.entry.stopping or not await self.entry.take_over(message.incarnation):
             raise Refusal(
                 RefusalCode.STORE_UNAVAILABLE,
-                'the takeover is put off',
+                'the takeover is not possible now; try again',
                 Outcome.UNKNOWN,
             )
         return Done()
 
     async def request_handover(self, successor: EntryRecord) -> bool:
-        """Ask another entry to take over this one's programs."""
+        """Ask another entry to take over this one's programs.
+
+        Returns:
+            Whether it confirmed; False may also mean that its answer was lost.
+        """
         message = HandOver(self.entry.incarnation)
         try:
             await self.entry.peers.at(successor.address).ask(
