--- a/pollenwalk/process/adoption.py
+++ b/pollenwalk/process/adoption.py
@@ -1,4 +1,4 @@
-"""Bringing a sealed home's programs into this entry's own journal."""
+"""Copies the programs of a sealed journal into this entry's own journal."""
 
 import msgspec
 from loguru import logger
@@ -25,7 +25,11 @@
 
 
 class Adoption:
-    """Takes over dead entries for one home."""
+    """Takes over dead entries for one owner.
+
+    Attributes:
+        adopted: incarnations whose programs are here.
+    """
 
     def __init__(
         self,
@@ -34,7 +38,7 @@
         store: ObjectStore,
         directory: Directory,
     ) -> None:
-        """Adopt into `home`."""
+        """Adopt programs into `owner`."""
         self.owner = owner
         self.takeover = takeover
         self.store = store
@@ -42,14 +46,14 @@
         self.adopted: dict[str, None] = {}
 
     async def take_over(self, dead: str) -> bool:
-        """Take over a dead entry if its seal is or becomes ours.
+        """Take over a dead entry unless another successor has.
 
         Returns:
             Whether its programs are here now.
 
         Raises:
             StoreUnavailable: the store does not answer; try again later.
-            Fenced: this home has itself been sealed.
+            Fenced: this entry's own journal has been sealed.
         """
         if dead not in self.adopted:
             owner_id = await self.takeover.claim_ownership(dead)
@@ -60,9 +64,11 @@
         return True
 
     async def adopt_and_record_successor(self, dead: str) -> None:
-        """Adopt; until the successor is named no segment may be deleted.
+        """Adopt the programs with compaction suspended.
 
-        Other entries look into our journal to see whether we have adopted.
+        Until the dead entry's record names its successor, other entries read
+        this entry's journal to find out whether it has adopted, so no segment
+        may be deleted.
         """
         self.owner.adoptions_in_progress += 1
         try:
@@ -72,7 +78,10 @@
             self.owner.adoptions_in_progress -= 1
 
     async def adopt(self, dead: str) -> None:
-        """Copy all programs, then make the copy count."""
+        """Copy a sealed journal's programs here and recover their intents.
+
+        Incarnations that the dead entry had adopted get this successor too.
+        """
         sealed = await self.takeover.read_sealed(dead)
         book = replay(sealed)
         await self.commit_snapshots(book, dead)
@@ -86,7 +95,10 @@
         await self.delete_segments(dead, sealed.content)
 
     async def commit_snapshots(self, book: ProgramBook, dead: str) -> None:
-        """Commit all programs and settled keys, then make them count."""
+        """Commit snapshots of all programs, then the claims and `Adopted`.
+
+        The snapshots take effect only with the `Adopted` record.
+        """
         journal = self.owner.parts.recorder.journal
         for chunk in snapshot_chunks(book, dead):
             await journal.commit(chunk)
@@ -97,13 +109,17 @@
         await journal.commit([*claims, Adopted(dead)])
 
     async def record_successor(self, dead: str) -> None:
-        """Write into a dead entry's record who has its programs."""
+        """Write the successor into a dead entry's record, with retries."""
         backoff = Backoff(self.owner.parts.clock)
         while not await self.try_record_successor(dead):
             await backoff.pause()
 
     async def try_record_successor(self, dead: str) -> bool:
-        """Try once to write the successor."""
+        """Try once to write the successor.
+
+        Returns:
+            Whether the record names a successor now, or does not exist.
+        """
         try:
             stored = await self.store.get(record_key(dead))
             if stored is not None:
@@ -113,7 +129,11 @@
         return True
 
     async def write_successor(self, stored: StoredObject) -> StoredObject:
-        """Write the successor into a record that names none yet."""
+        """Write the successor into a record unless it names one already.
+
+        Returns:
+            The record as stored now.
+        """
         record = decode_record(stored.body)
         if record.successor:
             return stored
@@ -123,7 +143,10 @@
         return stored._replace(body=body, version=version)
 
     async def delete_segments(self, dead: str, content: JournalContent) -> None:
-        """Delete a dead journal but for its seals, which fence for ever."""
+        """Delete a dead journal's segments except its seals.
+
+        The seals stay for ever, as they fence the old owner.
+        """
         for number, segment in sorted(content.segments.items()):
             if segment.sealed_by:
                 return
@@ -134,7 +157,14 @@
 
 
 def snapshot_chunks(book: ProgramBook, origin: str) -> list[list[Snapshot]]:
-    """Split a book into commits of bounded size."""
+    """Split a book's programs into commits of at most `MAX_COMMIT_BYTES`.
+
+    A commit has at least one program, however large.
+
+    Args:
+        book: the programs.
+        origin: the incarnation that they are adopted from.
+    """
     parts: list[list[Snapshot]] = [[]]
     size = 0
     for program in book.programs.values():
--- a/pollenwalk/process/journal.py
+++ b/pollenwalk/process/journal.py
@@ -1,8 +1,8 @@
-"""A home's journal: group commits into the store, ended by a seal.
+"""An owner's journal: group commits into the object store, ended by a seal.
 
-Each segment is a conditional create of the next number, so a sealed home
-loses its next commit and learns that it has a successor. Nothing here reads
-a clock to decide who may write.
+Each segment is written by a conditional create of the next number, so once a
+successor has written its seal there, the next commit fails and the owner
+learns that it is fenced. Who may write never depends on a clock.
 """
 
 import asyncio
@@ -38,10 +38,17 @@
 
 
 class Batch:
-    """Records that become durable together."""
+    """Records that become durable together.
+
+    Attributes:
+        number: its place in the journal, counted from 1.
+        body: the encoded records.
+        opened_ms: when its first record was appended, on the process's clock.
+        durable: done once the batch is durable; fails if it never will be.
+    """
 
     def __init__(self, number: int, body: bytes, opened_ms: float) -> None:
-        """Hold an encoded batch that waits to become durable."""
+        """Create a batch that is not yet durable."""
         self.number = number
         self.body = body
         self.opened_ms = opened_ms
@@ -53,14 +60,33 @@
             self.durable.set_result(None)
 
     def fail(self) -> None:
-        """Mark the batch as lost to a successor."""
+        """Fail the batch: a successor has sealed the journal."""
         if not self.durable.done():
             self.durable.set_exception(Fenced('sealed by a successor'))
             self.durable.exception()
 
 
 class Journal:
-    """Appends records and tells when they are durable."""
+    """Appends records and waits until they are durable.
+
+    Attributes:
+        min_interval_ms: pause after each segment.
+        write_limiter: limits the writes to the store; None for no limit.
+        next_segment: number of the next segment.
+        next_batch: number of the next batch.
+        last_stored_batch: number of the last batch in the store.
+        pending: batches that the store has not confirmed.
+        fenced: whether a successor has sealed this journal.
+        handing_over: whether the owner is about to ask for a takeover, so no
+            call should be dispatched.
+        confirmed_ms: when the newest durable batch was opened; no successor
+            had sealed the journal before that.
+        desired_witnesses: to be named by the next segment.
+        effective_witnesses: named by the last segment in the store.
+        proposed_witnesses: named by the segment that is being written.
+        on_fenced: called once when the journal is found sealed.
+        peers: gives the peer at an address; None for no witnesses.
+    """
 
     def __init__(
         self,
@@ -70,7 +96,7 @@
         incarnation: str,
         dice: random.Random,
     ) -> None:
-        """Prepare the journal of a fresh incarnation."""
+        """Create the empty journal of a new incarnation."""
         self.dice = dice
         self.store = store
         self.clock = clock
@@ -98,11 +124,11 @@
         self.segments_written = 0
 
     def start(self) -> None:
-        """Begin writing."""
+        """Start to write segments."""
         self.tasks.spawn(self.write_segments(), 'journal_segments')
 
     async def commit(self, records: list[Record]) -> None:
-        """Append records and wait until they are durable.
+        """Append records, batched with concurrent ones, and wait until durable.
 
         Raises:
             Fenced: a successor has sealed this journal.
@@ -116,24 +142,24 @@
         await asyncio.shield(self.open_batch.durable)
 
     async def confirm(self) -> None:
-        """Prove that no successor has sealed this journal until now.
+        """Prove by an empty commit that no successor has sealed this journal.
 
         Raises:
-            Fenced: one has.
+            Fenced: a successor has.
         """
         await self.commit([])
 
     @property
     def recently_confirmed(self) -> bool:
-        """Tell whether the last proof is younger than any takeover can be.
+        """Return whether the last proof is so recent that a takeover is unlikely.
 
-        This rests on the clock and so guards nothing that must not happen:
-        only that an outdated home seldom repeats what may be repeated.
+        This relies on the clock, so safety must not depend on it. It only
+        makes it rare that a fenced owner runs an idempotent call again.
         """
         return self.clock.now_ms() - self.confirmed_ms < RECENT_CONFIRMATION_MS
 
     def close_batch(self) -> None:
-        """Number the open batch and offer it to the store and witnesses."""
+        """Number and encode the open batch and pass it to store and witnesses."""
         batch = self.open_batch
         if batch is None:
             return
@@ -151,14 +177,16 @@
 
     @property
     def stalled(self) -> bool:
-        """Tell whether a batch has waited too long to become durable."""
-        oldest = next((one for one in self.pending if not one.durable.done()), None)
+        """Return whether a batch has waited `STALL_TIMEOUT_MS` to be durable."""
+        oldest = next(
+            (batch for batch in self.pending if not batch.durable.done()), None
+        )
         if oldest is None:
             return False
         return self.clock.now_ms() - oldest.opened_ms > STALL_TIMEOUT_MS
 
     async def write_segments(self) -> None:
-        """Write what is pending, one segment after the other."""
+        """Write pending batches, one segment at a time, until fenced."""
         while not self.fenced:
             await self.work_available.wait()
             self.work_available.clear()
@@ -169,11 +197,11 @@
                 await self.clock.sleep_ms(self.min_interval_ms)
 
     def segment_due(self) -> bool:
-        """Tell whether a segment is due."""
+        """Return whether there are batches or new witnesses to write."""
         return bool(self.pending) or self.desired_witnesses != self.effective_witnesses
 
     def next_segment_batches(self) -> Iterable[Batch]:
-        """Give pending batches up to a segment's size, at least one."""
+        """Yield pending batches up to `MAX_SEGMENT_BYTES`, but at least one."""
         size = 0
         for batch in self.pending:
             size += len(batch.body)
@@ -182,7 +210,10 @@
             yield batch
 
     async def write_segment(self, batches: list[Batch]) -> None:
-        """Create the next segment, however often its answer is lost."""
+        """Write the next segment, retrying while the store does not answer.
+
+        If a successor's seal is found in its place, the journal is fenced.
+        """
         self.proposed_witnesses = list(self.desired_witnesses)
         segment = Segment(
             make_nonce(self.dice),
@@ -198,7 +229,11 @@
             self.fence()
 
     async def create_segment(self, key: str, body: bytes) -> bool:
-        """Create a segment; tell whether it is ours."""
+        """Create a segment, retrying with back-off.
+
+        Returns:
+            Whether the stored segment is this one; False for another's seal.
+        """
         backoff = Backoff(self.clock)
         while True:
             started_ms = self.clock.now_ms()
@@ -212,7 +247,11 @@
             return created
 
     def adjust_write_limit(self, took_ms: float | None) -> None:
-        """Let the pace follow the store."""
+        """Adapt the write limit to a write's duration.
+
+        Args:
+            took_ms: how long the write took; None if the store did not answer.
+        """
         if self.write_limiter is None:
             return
         if took_ms is None:
@@ -221,19 +260,19 @@
             self.write_limiter.record_answer(took_ms)
 
     def segment_written(self, batches: list[Batch]) -> None:
-        """Note a written segment."""
+        """Update the state after a segment has been stored."""
         self.next_segment += 1
         self.segments_written += 1
         self.last_stored_batch += len(batches)
         self.pending = [
-            one for one in self.pending if one.number > self.last_stored_batch
+            batch for batch in self.pending if batch.number > self.last_stored_batch
         ]
         self.effective_witnesses = self.proposed_witnesses
         self.mark_durable(batches)
         self.update_witness_links()
 
     def fence(self) -> None:
-        """Stop for good: a successor owns the programs now."""
+        """Stop for good and fail pending batches: a successor owns the programs."""
         if self.fenced:
             return
         self.fenced = True
@@ -245,17 +284,17 @@
         self.on_fenced()
 
     def set_witnesses(self, refs: list[WitnessRef]) -> None:
-        """Ask for another set of witnesses, from the next segment on."""
+        """Set the witnesses that the next segment is to name."""
         if refs != self.desired_witnesses:
             self.desired_witnesses = refs
             self.work_available.set()
 
     def failed_witnesses(self) -> list[WitnessRef]:
-        """Give the witnesses that can't acknowledge any more."""
+        """Return the witnesses that have restarted or refused batches."""
         return [ref for ref, link in self.witness_links.items() if link.failed]
 
     def update_witness_links(self) -> None:
-        """Start sending to new witnesses and stop sending to old ones."""
+        """Start sending to new witnesses and stop sending to removed ones."""
         for ref in list(self.witness_links):
             if ref not in self.effective_witnesses:
                 self.witness_links.pop(ref)
@@ -268,7 +307,7 @@
                 self.tasks.spawn(self.send_to_witness(link), 'journal_witness')
 
     async def send_to_witness(self, link: WitnessLink) -> None:
-        """Send pending batches to one witness while it is one of ours."""
+        """Send pending batches to one witness until it is removed or fails."""
         while self.witness_links.get(link.ref) is link and not link.failed:
             batches = list(self.pending)
             if not batches or batches[-1].number <= link.acknowledged:
@@ -287,7 +326,11 @@
                 await self.clock.sleep_ms(WITNESS_RETRY_MS)
 
     def mark_acknowledged_durable(self) -> None:
-        """Settle the batches that every required witness holds."""
+        """Mark the batches durable that every required witness acknowledged.
+
+        Required are the witnesses of the last stored segment and those of the
+        segment being written, as a takeover may find either of the two last.
+        """
         required = dict.fromkeys([*self.effective_witnesses, *self.proposed_witnesses])
         links = [self.witness_links.get(ref) for ref in required]
         if not links or not all(links):
@@ -298,7 +341,7 @@
         )
 
     def mark_durable(self, batches: list[Batch]) -> None:
-        """Note batches that are durable."""
+        """Complete the batches' waits and advance `confirmed_ms`."""
         for batch in batches:
             batch.mark_durable()
             self.confirmed_ms = max(self.confirmed_ms, batch.opened_ms)
--- a/pollenwalk/process/segments.py
+++ b/pollenwalk/process/segments.py
@@ -1,4 +1,7 @@
-"""The journal's objects in the store: segments of batches, ended by a seal."""
+"""The segments of a journal, which are objects in the store.
+
+The last segment of a journal whose owner has been fenced is a seal.
+"""
 
 from typing import NamedTuple
 
@@ -14,7 +17,7 @@
 
 
 class WitnessRef(NamedTuple):
-    """A witness, named by its incarnation so that a restart is noticed."""
+    """A witness, identified by its incarnation so that a restart is noticed."""
 
     incarnation: str
     address: str
@@ -24,10 +27,11 @@
     """One group commit, or the seal that ends a journal.
 
     Attributes:
-        nonce: tells the writer whether a lost answer was a success.
+        nonce: lets the writer recognise its segment when the store's answer
+            to the write was lost.
         first: number of the first batch.
-        batches: encoded records.
-        witnesses: who must acknowledge what follows this segment.
+        batches: encoded records of each batch.
+        witnesses: the witnesses of the batches after this segment.
         sealed_by: the successor's incarnation; empty in ordinary segments.
     """
 
@@ -39,39 +43,43 @@
 
     @property
     def last(self) -> int:
-        """Give the number of the last batch up to and with this segment."""
+        """Return the number of the last batch in the journal after this segment."""
         return self.first + len(self.batches) - 1
 
 
 class JournalContent(NamedTuple):
-    """A journal as read from the store."""
+    """A journal as read from the store.
+
+    Attributes:
+        segments: the segments by number, in ascending order.
+    """
 
     segments: dict[int, Segment]
 
     @property
     def last_segment_number(self) -> int:
-        """Give the number of the last segment; 0 for an empty journal."""
+        """Return the number of the last segment; 0 for an empty journal."""
         return max(self.segments, default=0)
 
     @property
     def sealed_by(self) -> str:
-        """Give who sealed the journal; empty while it is open."""
+        """Return the incarnation that sealed the journal; empty while it is open."""
         last = self.segments.get(self.last_segment_number)
         return last.sealed_by if last else ''
 
     @property
     def last_batch(self) -> int:
-        """Give the number of the last batch in the store."""
+        """Return the number of the last batch in the store; 0 if there is none."""
         return max((part.last for part in self.segments.values()), default=0)
 
     @property
     def witnesses(self) -> list[WitnessRef]:
-        """Give the witnesses that the last ordinary segment names."""
+        """Return the witnesses that the last segment before the seals names."""
         ordinary = [part for part in self.segments.values() if not part.sealed_by]
         return ordinary[-1].witnesses if ordinary else []
 
     def records(self) -> list[Record]:
-        """Give all records in order."""
+        """Return all records in journal order."""
         return [
             record
             for segment in self.segments.values()
@@ -84,31 +92,31 @@
 
 
 def journal_prefix(incarnation: str) -> str:
-    """Name the folder of a journal."""
+    """Return the key prefix of a journal's segments."""
     return f'{PREFIX}/{incarnation}/'
 
 
 def segment_key(incarnation: str, number: int) -> str:
-    """Name a segment so that names sort by number."""
+    """Return the key of a segment; keys sort by segment number."""
     return f'{journal_prefix(incarnation)}{number:0{NUMBER_DIGITS}d}'
 
 
 def encode_segment(segment: Segment) -> bytes:
-    """Pack and compress a segment."""
+    """Encode and compress a segment."""
     packed = msgspec.msgpack.encode(segment)
     return zstandard.ZstdCompressor(COMPRESSION_LEVEL).compress(packed)
 
 
 def decode_segment(body: bytes) -> Segment:
-    """Unpack a segment."""
+    """Decompress and decode a segment."""
     return DECODER.decode(zstandard.ZstdDecompressor().decompress(body))
 
 
 async def read_journal(store: ObjectStore, incarnation: str) -> JournalContent:
-    """Read a whole journal.
+    """Read a whole journal from the store.
 
     Raises:
-        StoreUnavailable: the store gave no answer.
+        StoreUnavailable: the store did not answer.
     """
     changes = await store.scan(journal_prefix(incarnation))
     return JournalContent(
@@ -120,5 +128,5 @@
 
 
 def segment_number(stored: StoredObject) -> int:
-    """Read a segment's number off its name."""
+    """Return a segment's number, which is the last part of its key."""
     return int(stored.key.rpartition('/')[2])
--- a/pollenwalk/process/takeover.py
+++ b/pollenwalk/process/takeover.py
@@ -1,8 +1,8 @@
-"""Taking over the programs of a dead entry.
+"""Takes over the journal of a dead entry.
 
-The successor seals the dead home's journal in the store, then at one witness,
-and only then reads what was acknowledged. Whoever loses the seal leaves the
-programs to the one who won it.
+The successor seals the dead owner's journal in the store, then at one witness,
+and only then reads what was acknowledged. If several entries try, the one
+whose seal was written first gets the programs.
 """
 
 import random
@@ -35,19 +35,26 @@
 
 
 class SealedJournal(NamedTuple):
-    """A journal that nobody writes to any more."""
+    """A journal that can no longer be written.
+
+    Attributes:
+        content: what was read from the store.
+        tail: records that only a witness held.
+        tail_lost: whether no witness could be read, so that records may be
+            missing.
+    """
 
     content: JournalContent
     tail: list[Record]
     tail_lost: bool
 
     def records(self) -> list[Record]:
-        """Give all records in order."""
+        """Return all records in journal order."""
         return [*self.content.records(), *self.tail]
 
 
 class Takeover:
-    """One successor's takeover of one dead incarnation."""
+    """Seals and reads the journals of dead entries for one successor."""
 
     def __init__(
         self,
@@ -58,7 +65,7 @@
         successor: str,
         dice: random.Random,
     ) -> None:
-        """Prepare to act for the incarnation `successor`."""
+        """Act for the incarnation `successor`."""
         self.dice = dice
         self.store = store
         self.clock = clock
@@ -67,7 +74,7 @@
         self.successor = successor
 
     async def claim_ownership(self, dead: str) -> str:
-        """Seal a journal unless somebody has, and tell whose seal it is.
+        """Seal a dead entry's journal unless another successor owns it.
 
         Args:
             dead: the incarnation that is believed dead.
@@ -76,7 +83,8 @@
             The incarnation that owns the programs now.
 
         Raises:
-            StoreUnavailable: the store gave no answer while reading.
+            StoreUnavailable: the store did not answer while the journal was
+                read.
         """
         while True:
             content = await read_journal(self.store, dead)
@@ -88,10 +96,11 @@
                 return self.successor
 
     async def seal(self, dead: str, content: JournalContent) -> bool:
-        """Seal a journal, or seal it once more after a successor that died.
+        """Add a seal to a journal, which may have that of a dead successor.
 
         Returns:
-            Whether the seal is ours.
+            Whether this successor's seal is written; False if another entry
+            wrote the segment first.
         """
         seal = Segment(
             make_nonce(self.dice),
@@ -108,11 +117,16 @@
         return created
 
     async def is_orphaned_seal(self, dead: str, owner_id: str) -> bool:
-        """Tell whether the owner of a seal can never adopt any more.
+        """Return whether the owner of a seal can no longer adopt the programs.
+
+        It can't once its own journal is sealed without the adoption in it. An
+        adoption may also be missing there because compaction deleted it, but
+        only after the dead entry's record has named its successor. Therefore
+        that record is read last.
 
-        That is so once its own journal is sealed without the adoption in it.
-        The adoption may only be missing there after the dead entry's record
-        has named its successor, so the record is read last.
+        Args:
+            dead: the sealed incarnation.
+            owner_id: the incarnation that wrote the seal.
         """
         if owner_id == self.successor:
             return False
@@ -126,7 +140,11 @@
         return stored is None or not decode_record(stored.body).successor
 
     async def read_sealed(self, dead: str) -> SealedJournal:
-        """Read a sealed journal and what its witnesses hold beyond it."""
+        """Read a sealed journal and the batches that only its witnesses hold.
+
+        If no witness can be read within `WITNESS_SEAL_TIMEOUT_MS`, the tail is
+        reported as lost.
+        """
         content = await read_journal(self.store, dead)
         witnesses = content.witnesses
         if not witnesses:
@@ -149,7 +167,11 @@
         content: JournalContent,
         message: WitnessSeal,
     ) -> WitnessBatches | None:
-        """Seal at the first witness that can be reached."""
+        """Seal at the first witness that answers, and return its batches.
+
+        Returns:
+            The batches, or None if no witness answers.
+        """
         for ref in content.witnesses:
             if ref.incarnation == self.successor:
                 return self.witness_log.seal(message)
@@ -162,8 +184,8 @@
 def replay(sealed: SealedJournal) -> ProgramBook:
     """Rebuild the programs of a sealed journal.
 
-    Programs that were being adopted from a third journal count only when
-    that adoption was completed.
+    Programs that its owner was adopting from a third journal are included
+    only if that adoption was completed.
     """
     book = ProgramBook()
     pending_snapshots: dict[str, list[Snapshot]] = {}
@@ -181,7 +203,10 @@
 
 
 def account_for_losses(program: Program, tail_lost: bool) -> None:
-    """Count what a dead home may have spent, and note lost records."""
+    """Count a program's reservation as spent, and mark it if records are lost.
+
+    The dead owner may have spent what was reserved without recording it.
+    """
     if program.ended:
         return
     program.budget = program.budget.forfeit()
@@ -189,7 +214,7 @@
 
 
 def adopted_incarnations(sealed: SealedJournal) -> set[str]:
-    """Give the incarnations whose programs a journal has adopted."""
+    """Return the incarnations whose programs a journal has adopted."""
     return {
         record.incarnation for record in sealed.records() if isinstance(record, Adopted)
     }
--- a/pollenwalk/process/witness.py
+++ b/pollenwalk/process/witness.py
@@ -1,4 +1,4 @@
-"""Witnesses: other entries that hold a home's batches until the store does.
+"""Witnesses: entries that hold an owner's batches until the store has them.
 
 A batch is durable once the store has it or once every witness has it. A
 takeover seals the journal in the store and then at one witness, so it sees
@@ -21,7 +21,13 @@
 
 
 class HeldBatches:
-    """What this process holds for one home."""
+    """The batches that a witness holds for one owner.
+
+    Attributes:
+        first: number of the first batch.
+        batches: the batches, numbered without a gap.
+        sealed: whether a successor has sealed them.
+    """
 
     def __init__(self) -> None:
         """Start with nothing held."""
@@ -31,35 +37,41 @@
 
     @property
     def next_number(self) -> int:
-        """Give the number of the batch that should come next."""
+        """Return the number of the next expected batch."""
         return self.first + len(self.batches)
 
     def drop_stored(self, base: int) -> None:
-        """Drop batches that the store has."""
+        """Drop the batches up to number `base`, which are in the store."""
         dropped = max(base + 1 - self.first, 0)
         self.batches = self.batches[dropped:]
         self.first = max(self.first, base + 1)
 
     def append(self, message: WitnessAppend) -> None:
-        """Add batches that follow without a gap."""
+        """Add batches, skipping those already held.
+
+        Raises:
+            Refusal: batches are missing before the first one.
+        """
         already_held = self.next_number - message.first
         if already_held < 0:
-            raise Refusal(RefusalCode.STALE_SESSION, 'batches are missing')
+            raise Refusal(
+                RefusalCode.STALE_SESSION, 'batches before the first one are missing'
+            )
         self.batches.extend(message.batches[already_held:])
 
 
 class WitnessLog:
-    """The witness side: batches of other homes, in memory only."""
+    """The witness's side: batches of other entries, in memory only."""
 
     def __init__(self) -> None:
         """Start with nothing held."""
         self.held: dict[str, HeldBatches] = {}
 
     def append(self, message: WitnessAppend) -> Done:
-        """Hold batches for a home.
+        """Hold batches for an owner.
 
         Raises:
-            Refusal: the home has been sealed, or batches are missing.
+            Refusal: the owner's batches are sealed, or some are missing.
         """
         held = self.held.setdefault(message.incarnation, HeldBatches())
         if held.sealed:
@@ -69,7 +81,7 @@
         return Done()
 
     def seal(self, message: WitnessSeal) -> WitnessBatches:
-        """Accept nothing more from a home and hand over what is held."""
+        """Accept no more batches from an owner and return those not stored."""
         held = self.held.setdefault(message.incarnation, HeldBatches())
         held.sealed = True
         held.drop_stored(message.base)
@@ -77,7 +89,13 @@
 
 
 class WitnessLink:
-    """The home side: how far one witness has acknowledged."""
+    """The owner's side: sends batches to one witness.
+
+    Attributes:
+        acknowledged: number of the last batch that the witness holds.
+        failed: whether the witness has restarted or refused batches; it is
+            then no longer used.
+    """
 
     def __init__(self, ref: WitnessRef, peer: Peer) -> None:
         """Start with nothing acknowledged."""
@@ -87,10 +105,11 @@
         self.failed = False
 
     async def send(self, message: WitnessAppend) -> bool:
-        """Send batches; a restarted or sealed witness fails for good.
+        """Send batches; the link fails if the witness restarted or refuses.
 
         Returns:
-            Whether the witness now holds all of them.
+            Whether the witness now holds all of them. If not, and the link
+            has not failed, they may be sent again.
         """
         try:
             connection = await self.peer.connected()
@@ -115,10 +134,11 @@
     peer: Peer,
     message: WitnessSeal,
 ) -> WitnessBatches | None:
-    """Seal at one witness.
+    """Seal an owner's batches at one witness.
 
     Returns:
-        What it held, or None when it can't be read or has restarted.
+        The batches that it held, or None if it can't be reached or has
+        restarted.
     """
     try:
         connection = await peer.connected()
