--- a/pollenwalk/process/adoption.py
+++ b/pollenwalk/process/adoption.py
@@ -99,7 +99,7 @@
 
         The snapshots take effect only with the `Adopted` record.
         """
-        journal = self.owner.parts.recorder.journal
+        journal = self.owner.context.recorder.journal
         for chunk in snapshot_chunks(book, dead):
             await journal.commit(chunk)
         claims = [
@@ -110,7 +110,7 @@
 
     async def record_successor(self, dead: str) -> None:
         """Write the successor into a dead entry's record, with retries."""
-        backoff = Backoff(self.owner.parts.clock)
+        backoff = Backoff(self.owner.context.clock)
         while not await self.try_record_successor(dead):
             await backoff.pause()
 
@@ -165,14 +165,14 @@
         book: the programs.
         origin: the incarnation that they are adopted from.
     """
-    parts: list[list[Snapshot]] = [[]]
+    context: list[list[Snapshot]] = [[]]
     size = 0
     for program in book.programs.values():
         snapshot = snapshot_of(program, origin)
         snapshot_bytes = len(msgspec.msgpack.encode(snapshot))
-        if parts[-1] and size + snapshot_bytes > MAX_COMMIT_BYTES:
-            parts.append([])
+        if context[-1] and size + snapshot_bytes > MAX_COMMIT_BYTES:
+            context.append([])
             size = 0
-        parts[-1].append(snapshot)
+        context[-1].append(snapshot)
         size += snapshot_bytes
-    return [part for part in parts if part]
+    return [part for part in context if part]
--- a/pollenwalk/process/compaction.py
+++ b/pollenwalk/process/compaction.py
@@ -26,14 +26,14 @@
         """Compact the journal of `home`."""
         self.owner = owner
         self.store = store
-        self.journal = owner.parts.recorder.journal
+        self.journal = owner.context.recorder.journal
         self.first_segments: dict[str, int] = {}
         self.claims_segment = 1
         self.oldest_segment = 1
 
     def start(self) -> None:
         """Follow what is recorded and compact in the background."""
-        self.owner.parts.recorder.touched = self.track_first_segments
+        self.owner.context.recorder.touched = self.track_first_segments
         self.owner.tasks.spawn(self.run(), 'compaction')
 
     def track_first_segments(self, records: list[Record], segment: int) -> None:
@@ -45,7 +45,7 @@
     async def run(self) -> None:
         """Compact for as long as the home lives."""
         while not self.journal.fenced:
-            await self.owner.parts.clock.sleep_ms(CHECK_INTERVAL_MS)
+            await self.owner.context.clock.sleep_ms(CHECK_INTERVAL_MS)
             try:
                 await self.compact()
             except Fenced:
@@ -114,6 +114,6 @@
         while self.oldest_segment < number:
             if self.journal.write_limiter is not None:
                 await self.journal.write_limiter.acquire()
-            key = segment_key(self.owner.parts.incarnation, self.oldest_segment)
+            key = segment_key(self.owner.context.incarnation, self.oldest_segment)
             await self.store.delete(key)
             self.oldest_segment += 1
--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -47,7 +47,7 @@
 from pollenwalk.process.witness import WitnessLog
 from pollenwalk.process.write_limiter import WriteLimiter
 from pollenwalk.program.program import ProgramBook
-from pollenwalk.request.parts import Parts
+from pollenwalk.request.entry_context import EntryContext
 from pollenwalk.request.retry import RetryBudgets
 from pollenwalk.request.routing import Routing
 from pollenwalk.version.config import Accepted, Configuration
@@ -91,7 +91,7 @@
         network: Network,
         store: ObjectStore,
         clock: Clock,
-        dice: random.Random,
+        rng: random.Random,
         tracer: Tracer,
         placement: Placement | None = None,
         hosts: HostList | None = None,
@@ -101,7 +101,7 @@
         self.network = network
         self.store = store
         self.clock = clock
-        self.dice = dice
+        self.rng = rng
         self.tracer = tracer
         self.hosts = hosts
         self.placement = placement or ExpectedFinish()
@@ -146,7 +146,7 @@
 
     def start_incarnation(self) -> None:
         """Create the components of a new incarnation, which owns no programs."""
-        self.incarnation = f'{self.dice.getrandbits(ID_BITS):012x}'
+        self.incarnation = f'{self.rng.getrandbits(ID_BITS):012x}'
         self.started_ms = self.clock.wall_ms()
         self.peers.identify(self.incarnation, self.settings.zone)
         self.journal = Journal(
@@ -154,7 +154,7 @@
             self.clock,
             self.owner_tasks,
             self.incarnation,
-            self.dice,
+            self.rng,
         )
         self.journal.min_interval_ms = self.settings.journal_interval_ms
         self.journal.write_limiter = WriteLimiter(
@@ -166,10 +166,10 @@
         self.journal.on_fenced = self.leave_to_successor
         book = ProgramBook()
         recorder = Recorder(self.journal, book, self.clock, self.owner_tasks)
-        parts = Parts(
+        context = EntryContext(
             self.incarnation,
             self.clock,
-            self.dice,
+            self.rng,
             self.location,
             self.config,
             self.fleet,
@@ -179,7 +179,7 @@
             recorder,
             self.tracer,
         )
-        self.owner = ProgramOwner(parts, book, self.owner_tasks)
+        self.owner = ProgramOwner(context, book, self.owner_tasks)
         self.compaction = Compaction(self.owner, self.store)
         self.takeover = Takeover(
             self.store,
@@ -187,7 +187,7 @@
             self.peers.at,
             self.witness_log,
             self.incarnation,
-            self.dice,
+            self.rng,
         )
         self.adoption = Adoption(
             self.owner,
--- a/pollenwalk/process/journal.py
+++ b/pollenwalk/process/journal.py
@@ -94,10 +94,10 @@
         clock: Clock,
         tasks: TaskSet,
         incarnation: str,
-        dice: random.Random,
+        rng: random.Random,
     ) -> None:
         """Create the empty journal of a new incarnation."""
-        self.dice = dice
+        self.rng = rng
         self.store = store
         self.clock = clock
         self.tasks = tasks
@@ -216,7 +216,7 @@
         """
         self.proposed_witnesses = list(self.desired_witnesses)
         segment = Segment(
-            make_nonce(self.dice),
+            make_nonce(self.rng),
             self.last_stored_batch + 1,
             [batch.body for batch in batches],
             self.proposed_witnesses,
--- a/pollenwalk/process/owner_interface.py
+++ b/pollenwalk/process/owner_interface.py
@@ -10,20 +10,20 @@
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.program.live import LiveCall, LiveProgram
 from pollenwalk.program.program import Program, ProgramBook
-from pollenwalk.request.parts import Parts
+from pollenwalk.request.entry_context import EntryContext
 
 
 class OwnerInterface(Protocol):
     """What creation, recovery and maintenance of programs need of the owner.
 
     Attributes:
-        parts: services that all calls share.
+        context: services that all calls of the entry share.
         book: the durable state of the programs.
         tasks: background tasks.
         live: state of the programs that is not durable, by program id.
     """
 
-    parts: Parts
+    context: EntryContext
     book: ProgramBook
     tasks: TaskSet
     live: dict[str, LiveProgram]
--- a/pollenwalk/process/program_creator.py
+++ b/pollenwalk/process/program_creator.py
@@ -5,7 +5,7 @@
 
 from pollenwalk.connection.wire import BeginProgram
 from pollenwalk.errors import Refusal, RefusalCode
-from pollenwalk.policy.door import has_room
+from pollenwalk.policy.program_admission import has_capacity
 from pollenwalk.process.owner_interface import OwnerInterface
 from pollenwalk.process.program_ids import new_program_id
 from pollenwalk.process.recorder import store_unavailable
@@ -17,7 +17,7 @@
 
 COMMIT_TIMEOUT_MS = 2000
 RETRY_AFTER_MS = 1000
-OVERLOAD_RETRY_MS = (500, 2000)
+ADMISSION_RETRY_MS = (500, 2000)
 CLAIM_RETENTION_MS = 600_000
 
 
@@ -39,7 +39,7 @@
     def __init__(self, owner: OwnerInterface) -> None:
         """Create programs for `owner`."""
         self.owner = owner
-        self.parts = owner.parts
+        self.context = owner.context
         self.pending: dict[tuple[str, str], PendingProgram] = {}
         self.pending_claims: dict[tuple[str, str], asyncio.Task[None]] = {}
         self.claimed_ms: dict[tuple[str, str], float] = {}
@@ -56,7 +56,7 @@
         if existing is not None:
             return self.check_repeat(existing, request)
         self.owner.check_accepts_work()
-        spec = self.parts.config.program(request.declaration)
+        spec = self.context.config.program(request.declaration)
         if spec is None:
             raise Refusal(
                 RefusalCode.UNKNOWN_DECLARATION,
@@ -77,7 +77,7 @@
             Fenced: a successor has sealed the journal; retry there.
         """
         try:
-            async with self.parts.clock.timeout_ms(COMMIT_TIMEOUT_MS):
+            async with self.context.clock.timeout_ms(COMMIT_TIMEOUT_MS):
                 await asyncio.shield(task)
         except TimeoutError as error:
             raise store_unavailable() from error
@@ -127,11 +127,13 @@
         task = self.pending_claims.get(identity)
         if task is None:
             record = Claimed(caller, key, program)
-            task = self.owner.tasks.spawn(self.parts.recorder.commit([record]), 'claim')
+            task = self.owner.tasks.spawn(
+                self.context.recorder.commit([record]), 'claim'
+            )
             self.pending_claims[identity] = task
             task.add_done_callback(lambda _: self.pending_claims.pop(identity, None))
         await self.wait_durable(task)
-        self.claimed_ms[identity] = self.parts.clock.now_ms()
+        self.claimed_ms[identity] = self.context.clock.now_ms()
         return self.owner.book.claims[identity]
 
     def check_repeat(self, program: Program, request: BeginProgram) -> Program:
@@ -154,8 +156,8 @@
             incarnation: the first owner; empty for this entry.
         """
         return new_program_id(
-            incarnation or self.parts.incarnation,
-            self.parts.dice,
+            incarnation or self.context.incarnation,
+            self.context.rng,
         )
 
     def create_new(self, request: BeginProgram, spec: ProgramSpec) -> PendingProgram:
@@ -183,7 +185,7 @@
 
     def record_creation(self, record: Begun) -> asyncio.Task[None]:
         """Start to commit a program's first record, a child's under its parent's lock."""
-        recorder = self.parts.recorder
+        recorder = self.context.recorder
         if not record.parent:
             return self.owner.tasks.spawn(recorder.commit([record]), 'begin')
         parent = self.owner.find(record.parent)
@@ -211,7 +213,7 @@
             self.check_parent(request.parent, limit)
             return
         self.check_load(request)
-        budget = self.parts.config.budget(request.caller)
+        budget = self.context.config.budget(request.caller)
         running = [
             program
             for program in self.owner.book.programs.values()
@@ -233,16 +235,16 @@
             Refusal: its retry delay is random, so that callers don't all retry
                 at once.
         """
-        spec = self.parts.config.program(request.declaration)
-        level = self.parts.config.level(spec.priority)
+        spec = self.context.config.program(request.declaration)
+        level = self.context.config.level(spec.priority)
         for name in spec.upstreams:
-            upstream = self.parts.config.upstream(name)
-            hosts = self.parts.fleet.views(name)
-            if upstream and upstream.kind == 'model' and not has_room(hosts, level):
+            upstream = self.context.config.upstream(name)
+            hosts = self.context.fleet.views(name)
+            if upstream and upstream.kind == 'model' and not has_capacity(hosts, level):
                 raise Refusal(
                     RefusalCode.OVERLOADED,
                     f'{name} has too many calls waiting',
-                    retry_after_ms=self.parts.dice.randint(*OVERLOAD_RETRY_MS),
+                    retry_after_ms=self.context.rng.randint(*ADMISSION_RETRY_MS),
                 )
 
     def check_parent(self, parent_id: str, limit: int) -> None:
@@ -262,7 +264,7 @@
 
     def drop_claims(self) -> None:
         """Remove key claims that are older than `CLAIM_RETENTION_MS`."""
-        now_ms = self.parts.clock.now_ms()
+        now_ms = self.context.clock.now_ms()
         for identity in list(self.owner.book.claims):
             claimed_ms = self.claimed_ms.setdefault(identity, now_ms)
             if now_ms - claimed_ms > CLAIM_RETENTION_MS:
--- a/pollenwalk/process/program_owner.py
+++ b/pollenwalk/process/program_owner.py
@@ -33,8 +33,8 @@
     Record,
 )
 from pollenwalk.request.call import LiveCall, check_request
+from pollenwalk.request.entry_context import EntryContext
 from pollenwalk.request.execution import Execution, doubted
-from pollenwalk.request.parts import Parts
 
 END_COMMIT_TIMEOUT_MS = 2000
 RENEW_MS = 5000
@@ -59,9 +59,11 @@
 class ProgramOwner:
     """The programs that one incarnation of an entry owns."""
 
-    def __init__(self, parts: Parts, book: ProgramBook, tasks: TaskSet) -> None:
+    def __init__(
+        self, context: EntryContext, book: ProgramBook, tasks: TaskSet
+    ) -> None:
         """Own the programs in `book`, without any running call."""
-        self.parts = parts
+        self.context = context
         self.book = book
         self.tasks = tasks
         self.live: dict[str, LiveProgram] = {}
@@ -73,7 +75,9 @@
 
     def start(self) -> None:
         """Start the background tasks."""
-        self.tasks.spawn(self.parts.recorder.send_settled(self.parts.peers), 'settle')
+        self.tasks.spawn(
+            self.context.recorder.send_settled(self.context.peers), 'settle'
+        )
         self.maintenance.start()
 
     def release(self, program: Program) -> Coroutine[Any, Any, None]:
@@ -95,7 +99,7 @@
             raise unknown_program(program_id)
         live = self.live.get(program_id)
         if live is None or live.program is not program:
-            live = LiveProgram(program, self.parts.clock)
+            live = LiveProgram(program, self.context.clock)
             self.live[program_id] = live
         return live
 
@@ -112,9 +116,9 @@
                 'this entry is stopping',
                 retry_after_ms=RETRY_AFTER_MS,
             )
-        if self.parts.recorder.journal.fenced:
+        if self.context.recorder.journal.fenced:
             raise sealed()
-        if self.parts.recorder.journal.stalled:
+        if self.context.recorder.journal.stalled:
             raise store_unavailable()
 
     async def call(self, request: CallProgram) -> AsyncIterator[Tokens | Answer]:
@@ -149,7 +153,7 @@
         if refusal.outcome != Outcome.NOT_RUN or refusal.code in REQUEST_ERROR_CODES:
             return True
         live = self.live.get(request.program)
-        upstream = self.parts.config.upstream(request.upstream)
+        upstream = self.context.config.upstream(request.upstream)
         idempotent = upstream is not None and (request.operation in upstream.idempotent)
         if idempotent and live is not None and live.may_have_run(request):
             return False
@@ -164,7 +168,7 @@
             Fenced: a successor owns the programs; retry there.
         """
         try:
-            await self.parts.recorder.confirm(CONFIRM_TIMEOUT_MS)
+            await self.context.recorder.confirm(CONFIRM_TIMEOUT_MS)
         except TimeoutError:
             return False
         return True
@@ -177,7 +181,7 @@
             Fenced: a successor owns the program.
         """
         live = self.find(request.program)
-        live.used_ms = self.parts.clock.now_ms()
+        live.used_ms = self.context.clock.now_ms()
         call = self.find_or_accept(live, request)
         if isinstance(call, FinishedCall):
             finished = call
@@ -202,7 +206,7 @@
             Refusal: the key was used for another request, or the new call
                 is not acceptable.
         """
-        call = LiveCall(request, self.parts.clock)
+        call = LiveCall(request, self.context.clock)
         known = live.calls.get(request.key)
         finished = live.program.finished.get(request.key)
         if known is not None:
@@ -226,8 +230,8 @@
 
     def check_operation(self, live: LiveProgram, request: CallProgram) -> None:
         """Check that a call's upstream, operation and input are as declared."""
-        spec = self.parts.config.program(live.program.declaration)
-        upstream = self.parts.config.upstream(request.upstream)
+        spec = self.context.config.program(live.program.declaration)
+        upstream = self.context.config.upstream(request.upstream)
         if spec is None or upstream is None or request.upstream not in spec.upstreams:
             raise Refusal(
                 RefusalCode.UNKNOWN_UPSTREAM,
@@ -245,7 +249,7 @@
 
     def check_loops(self, live: LiveProgram, call: LiveCall) -> None:
         """Refuse a call beyond `max_calls` or repeated `loop_limit` times."""
-        spec = self.parts.config.program(live.program.declaration)
+        spec = self.context.config.program(live.program.declaration)
         if call.request.sequence > spec.max_calls:
             raise Refusal(
                 RefusalCode.LOOP_LIMIT,
@@ -263,7 +267,7 @@
         """Run a call to its end, once all earlier calls have ended."""
         try:
             await live.take_turn(call)
-            call.finish(await Execution(self.parts, live, call).run())
+            call.finish(await Execution(self.context, live, call).run())
         except PollenwalkError as error:
             call.refuse(error)
         finally:
@@ -271,7 +275,7 @@
                 call.refuse(cancelled_refusal(call) if live.ending else sealed())
             live.calls.pop(call.request.key, None)
             live.tasks.pop(call.request.key, None)
-            live.used_ms = self.parts.clock.now_ms()
+            live.used_ms = self.context.clock.now_ms()
             live.notify()
 
     def refuse_open_calls(self) -> None:
@@ -305,7 +309,7 @@
         records: list[Record] = [Ended(program_id)]
         if was_running:
             records.insert(0, Forfeited(program_id))
-        await self.parts.recorder.record(live, lambda: records, END_COMMIT_TIMEOUT_MS)
+        await self.context.recorder.record(live, lambda: records, END_COMMIT_TIMEOUT_MS)
         self.tasks.spawn(self.maintenance.release(live.program), 'release')
         return live.program
 
--- a/pollenwalk/process/takeover.py
+++ b/pollenwalk/process/takeover.py
@@ -63,10 +63,10 @@
         peers: PeerSource,
         witness_log: WitnessLog,
         successor: str,
-        dice: random.Random,
+        rng: random.Random,
     ) -> None:
         """Act for the incarnation `successor`."""
-        self.dice = dice
+        self.rng = rng
         self.store = store
         self.clock = clock
         self.peers = peers
@@ -103,7 +103,7 @@
             wrote the segment first.
         """
         seal = Segment(
-            make_nonce(self.dice),
+            make_nonce(self.rng),
             content.last_batch + 1,
             [],
             content.witnesses,
