--- a/pollenwalk/process/compaction.py
+++ b/pollenwalk/process/compaction.py
@@ -1,8 +1,8 @@
-"""Keeping a home's journal short.
+"""Compaction of an owner's journal.
 
 Old programs are written again as snapshots, a few at a time, until no record
-in the oldest segments is needed any more; then those are deleted. A takeover
-so reads little, however long the home has lived.
+in the oldest segments is needed any more; then those are deleted. So a
+takeover reads a bounded journal, however long its owner has been running.
 """
 
 from loguru import logger
@@ -20,10 +20,17 @@
 
 
 class Compaction:
-    """Tracks which segments are still needed."""
+    """Rewrites old programs and deletes segments that are no longer needed.
+
+    Attributes:
+        first_segments: for each program, a segment before which none of its
+            needed records lie.
+        claims_segment: the same for the claims of idempotency keys.
+        oldest_segment: the first segment that has not been deleted.
+    """
 
     def __init__(self, owner: ProgramOwner, store: ObjectStore) -> None:
-        """Compact the journal of `home`."""
+        """Compact the journal of `owner`."""
         self.owner = owner
         self.store = store
         self.journal = owner.context.recorder.journal
@@ -32,18 +39,24 @@
         self.oldest_segment = 1
 
     def start(self) -> None:
-        """Follow what is recorded and compact in the background."""
+        """Track the recorded programs and start to compact in the background."""
         self.owner.context.recorder.touched = self.track_first_segments
         self.owner.tasks.spawn(self.run(), 'compaction')
 
     def track_first_segments(self, records: list[Record], segment: int) -> None:
-        """Note that a program's records begin no earlier than a segment."""
+        """Note the first needed segment of programs that were created or rewritten.
+
+        Args:
+            records: records that were committed.
+            segment: the next segment when their commit started; they are in
+                it or a later one.
+        """
         for record in records:
             if isinstance(record, Begun | Snapshot):
                 self.first_segments[record.program] = segment
 
     async def run(self) -> None:
-        """Compact for as long as the home lives."""
+        """Compact regularly until the journal is fenced."""
         while not self.journal.fenced:
             await self.owner.context.clock.sleep_ms(CHECK_INTERVAL_MS)
             try:
@@ -54,7 +67,11 @@
                 logger.info('compaction_put_off', reason=error.message)
 
     async def compact(self) -> None:
-        """Write the oldest programs again, then delete what nobody needs."""
+        """Rewrite old programs if the journal is long; delete unneeded segments.
+
+        Does nothing during an adoption, as other entries may then read this
+        journal to find out about it.
+        """
         if self.owner.adoptions_in_progress:
             return
         self.sync_programs()
@@ -65,7 +82,11 @@
         await self.delete_segments_before(self.first_needed_segment())
 
     def sync_programs(self) -> None:
-        """Forget programs that the home has dropped."""
+        """Match `first_segments` with the programs that the owner has now.
+
+        A program without an entry, such as an adopted one, may need any
+        segment that is left.
+        """
         known = self.owner.book.programs
         self.first_segments = {
             program: segment
@@ -76,13 +97,13 @@
             self.first_segments.setdefault(program, self.oldest_segment)
 
     def oldest_programs(self) -> list[str]:
-        """Give the programs whose records begin earliest."""
+        """Return the programs whose needed records begin earliest."""
         return sorted(self.first_segments, key=self.first_segments.__getitem__)[
             :MAX_SNAPSHOTS_PER_ROUND
         ]
 
     async def rewrite_program(self, program_id: str) -> None:
-        """Write one program's whole state again, under its lock."""
+        """Commit a snapshot of one program, under its lock."""
         live = self.owner.find(program_id)
         async with live.lock:
             snapshot = snapshot_of(live.program)
@@ -91,7 +112,7 @@
             self.first_segments[program_id] = segment
 
     async def rewrite_claims(self) -> None:
-        """Write all claims again; they are small and expire soon."""
+        """Commit all claims again; they are small and expire soon."""
         claims = [
             Claimed(caller, key, program)
             for (caller, key), program in self.owner.book.claims.items()
@@ -102,15 +123,15 @@
         self.claims_segment = segment
 
     def first_needed_segment(self) -> int:
-        """Give the first segment that is still needed.
+        """Return the first segment that is still needed.
 
-        The last segments stay, since they name the witnesses.
+        The last two segments stay, since they name the witnesses.
         """
         keep_from = max(self.journal.next_segment - 2, 1)
         return min([keep_from, self.claims_segment, *self.first_segments.values()])
 
     async def delete_segments_before(self, number: int) -> None:
-        """Delete the segments before a number."""
+        """Delete the segments below a number, within the write limit."""
         while self.oldest_segment < number:
             if self.journal.write_limiter is not None:
                 await self.journal.write_limiter.acquire()
--- a/pollenwalk/process/directory.py
+++ b/pollenwalk/process/directory.py
@@ -1,8 +1,8 @@
-"""The entries, from their records in the store.
+"""The directory of all entries, read from their records in the store.
 
-A record is written when an entry starts, stops or is taken over, never to
-renew anything, so every entry can afford to watch all of them. Whether an
-entry is alive is learnt from heartbeats.
+A record is written only when an entry starts, stops or is taken over, so
+every entry can afford to watch all of them. Whether an entry is alive is known
+from heartbeats, not from its record.
 """
 
 import hashlib
@@ -23,12 +23,12 @@
     """One incarnation of an entry.
 
     Attributes:
-        incarnation: its id, part of its programs' ids.
-        address: where peers connect.
+        incarnation: its id, which is part of its programs' ids.
+        address: `ip:port` where peers reach it.
         zone: its availability zone.
         region: its region.
-        started_ms: calendar time of its start, for people.
-        successor: the incarnation that took over its programs.
+        started_ms: wall-clock time of its start.
+        successor: the incarnation that took over its programs; empty if none.
     """
 
     incarnation: str
@@ -43,22 +43,24 @@
 
 
 def record_key(incarnation: str) -> str:
-    """Name an entry's record."""
+    """Return the key of an entry's record in the store."""
     return f'{PREFIX}{incarnation}'
 
 
 def encode_record(record: EntryRecord) -> bytes:
-    """Pack a record."""
+    """Encode a record."""
     return msgspec.json.encode(record)
 
 
 def decode_record(body: bytes) -> EntryRecord:
-    """Unpack a record."""
+    """Decode a record."""
     return DECODER.decode(body)
 
 
 def rendezvous(key: str, names: Iterable[str]) -> list[str]:
-    """Rank names for a key so that few ranks change with the names.
+    """Rank names for a key by rendezvous hashing, highest first.
+
+    Adding or removing a name leaves the order of the others unchanged.
 
     Source: D. Thaler and C. Ravishankar, "Using name-based mappings to
     increase hit rates" (1998).
@@ -67,12 +69,18 @@
 
 
 def rendezvous_weight(key: str, name: str) -> bytes:
-    """Give a name's weight for a key."""
+    """Return a name's hash for a key, by which names are ranked."""
     return hashlib.blake2b(f'{key}\0{name}'.encode(), digest_size=8).digest()
 
 
 class Directory:
-    """What this process knows of all entries."""
+    """This process's view of all entries.
+
+    Attributes:
+        records: the known records by incarnation.
+        versions: the store's version of each record, deleted ones included.
+        change_count: how many changes have been applied.
+    """
 
     def __init__(self, store: ObjectStore, clock: Clock) -> None:
         """Start empty."""
@@ -83,11 +91,11 @@
         self.change_count = 0
 
     async def follow(self) -> None:
-        """Keep the view current for as long as the process lives."""
+        """Apply changes of the records until cancelled."""
         await follow(self.store, self.clock, PREFIX, self.apply)
 
     def apply(self, stored: StoredObject) -> None:
-        """Note a record unless a newer one is known."""
+        """Apply a changed or deleted record unless a newer one is known."""
         incarnation = stored.key.removeprefix(PREFIX)
         if self.versions.get(incarnation, 0) >= stored.version:
             return
@@ -99,13 +107,22 @@
             self.records.pop(incarnation, None)
 
     async def refresh(self) -> None:
-        """Read all records now; raises `StoreUnavailable`."""
+        """Read all records once.
+
+        Raises:
+            StoreUnavailable: the store did not answer.
+        """
         changes = await self.store.scan(PREFIX)
         for stored in changes.objects:
             self.apply(stored)
 
     def resolve_owner(self, incarnation: str) -> EntryRecord | None:
-        """Follow the successors of an incarnation to the present owner."""
+        """Follow the successors of an incarnation to the current owner.
+
+        Returns:
+            The owner's record; None if a record is missing or after
+            `MAX_SUCCESSORS` steps.
+        """
         record = self.records.get(incarnation)
         for _ in range(MAX_SUCCESSORS):
             if record is None or not record.successor:
@@ -114,7 +131,11 @@
         return None
 
     def live_entries(self, region: str = '') -> list[EntryRecord]:
-        """Give the entries that nobody has taken over."""
+        """Return the entries that have not been taken over.
+
+        Args:
+            region: return only entries of this region; empty for all.
+        """
         return [
             record
             for record in self.records.values()
@@ -122,9 +143,14 @@
         ]
 
     def observers(self, incarnation: str, count: int) -> list[EntryRecord]:
-        """Give the entries that watch over one, its own region first."""
-        watched = self.records.get(incarnation)
-        if watched is None:
+        """Return the entries that monitor an entry, those of its region first.
+
+        Args:
+            incarnation: the monitored entry.
+            count: how many to return at most.
+        """
+        monitored = self.records.get(incarnation)
+        if monitored is None:
             return []
         others = {
             record.incarnation: record
@@ -132,19 +158,26 @@
             if record.incarnation != incarnation
         }
         ranked = rendezvous(incarnation, others)
-        same_region = [name for name in ranked if others[name].region == watched.region]
+        same_region = [
+            name for name in ranked if others[name].region == monitored.region
+        ]
         other_regions = [
-            name for name in ranked if others[name].region != watched.region
+            name for name in ranked if others[name].region != monitored.region
         ]
         return [others[name] for name in [*same_region, *other_regions][:count]]
 
     def witness_candidates(self, incarnation: str, count: int) -> list[EntryRecord]:
-        """Give the entries that should hold one's batches.
+        """Return the preferred witnesses of an entry, the best first.
+
+        Entries in other zones of the same region come first: they are near,
+        but don't fail with the entry's own zone.
 
-        Other zones of the same region go first: near, yet not lost with it.
+        Args:
+            incarnation: the entry whose batches they are to hold.
+            count: how many to return at most.
         """
-        own = self.records.get(incarnation)
-        if own is None:
+        own_record = self.records.get(incarnation)
+        if own_record is None:
             return []
         others = {
             record.incarnation: record
@@ -154,8 +187,8 @@
         ranked = sorted(
             rendezvous(incarnation, others),
             key=lambda name: (
-                others[name].zone == own.zone,
-                others[name].region != own.region,
+                others[name].zone == own_record.zone,
+                others[name].region != own_record.region,
             ),
         )
         return [others[name] for name in ranked[:count]]
--- a/pollenwalk/process/entry_monitor.py
+++ b/pollenwalk/process/entry_monitor.py
@@ -1,4 +1,4 @@
-"""Looking after the other entries: heartbeats, witnesses, takeovers."""
+"""Monitors the other entries: heartbeats, choice of witnesses, takeovers."""
 
 from loguru import logger
 
@@ -15,15 +15,19 @@
 
 
 class EntryMonitor:
-    """What one entry does about the others."""
+    """Sends heartbeats, chooses witnesses and takes over dead entries.
+
+    Attributes:
+        taking_over: incarnations that are being probed or taken over.
+    """
 
     def __init__(self, entry: EntryInterface) -> None:
-        """Act for `entry`, whichever incarnation it has."""
+        """Act for `entry`, also after it has changed its incarnation."""
         self.entry = entry
         self.taking_over: dict[str, None] = {}
 
     async def watch_entries(self) -> None:
-        """Send heartbeats and take over the dead, as long as we live."""
+        """Send heartbeats and take over dead entries until cancelled."""
         while True:
             self.entry.liveness.reset_after_pause()
             if self.entry.ready:
@@ -37,7 +41,7 @@
             await self.entry.clock.sleep_ms(CHECK_INTERVAL_MS)
 
     def predecessors(self) -> list[EntryRecord]:
-        """Give earlier incarnations at our own address; they are dead."""
+        """Return earlier incarnations at this entry's address, which are dead."""
         return [
             record
             for record in self.entry.directory.live_entries()
@@ -46,7 +50,10 @@
         ]
 
     def choose_witnesses(self) -> None:
-        """Name the entries that should hold our batches."""
+        """Choose the entries that are to hold this entry's batches.
+
+        If there are fewer than configured, none is used.
+        """
         count = self.entry.settings.witnesses
         failed = self.entry.journal.failed_witnesses()
         refs = [
@@ -59,14 +66,14 @@
         self.entry.journal.set_witnesses(usable if len(usable) == count else [])
 
     def start_probe(self, record: EntryRecord) -> None:
-        """Start looking into a silent entry, once at a time."""
+        """Start to probe a silent entry, unless that is already under way."""
         if record.incarnation in self.taking_over or self.entry.stopping:
             return
         self.taking_over[record.incarnation] = None
         self.entry.tasks.spawn(self.probe_and_take_over(record), 'takeover')
 
     async def probe_and_take_over(self, record: EntryRecord) -> None:
-        """Take a silent entry over unless it answers."""
+        """Take over a silent entry unless it answers a probe."""
         try:
             if await self.is_alive(record):
                 self.entry.liveness.record_alive(record.incarnation)
@@ -77,7 +84,7 @@
             self.taking_over.pop(record.incarnation, None)
 
     async def is_alive(self, record: EntryRecord) -> bool:
-        """Tell whether this very incarnation still answers."""
+        """Return whether this same incarnation answers at its address."""
         if record.address == self.entry.settings.address:
             return False
         for _ in range(PROBE_ATTEMPTS):
@@ -87,9 +94,13 @@
         return False
 
     async def probe(self, address: str) -> str:
-        """Ask who is at an address; empty when nobody answers in time.
+        """Return the incarnation that answers at an address.
 
-        The first try may only find out that an old connection has ended.
+        An attempt may fail only because an old connection has ended, so
+        callers try more than once.
+
+        Returns:
+            The incarnation; empty if there is no answer in `PROBE_TIMEOUT_MS`.
         """
         peer = self.entry.peers.at(address)
         try:
@@ -99,7 +110,12 @@
             return ''
 
     async def take_over(self, dead: str) -> bool:
-        """Take a dead entry over; a silent store puts it off."""
+        """Take over a dead entry.
+
+        Returns:
+            Whether its programs are here now; False also if the store did not
+            answer, in which case a later check tries again.
+        """
         try:
             return await self.entry.adoption.take_over(dead)
         except (StoreUnavailable, Fenced) as error:
--- a/pollenwalk/process/liveness.py
+++ b/pollenwalk/process/liveness.py
@@ -1,7 +1,7 @@
-"""Which entries seem dead, judged by their heartbeats.
+"""Failure detection by heartbeats between entries.
 
-A wrong judgement costs a needless takeover and nothing else: the seal in the
-store decides who owns the programs.
+A false suspicion costs an unnecessary takeover and nothing else: the seal in
+the store decides who owns the programs.
 """
 
 from pollenwalk.connection.channel import Network
@@ -19,10 +19,17 @@
 
 
 class Liveness:
-    """Sends this entry's heartbeats and judges those of others."""
+    """Sends this entry's heartbeats and detects silent entries.
+
+    Attributes:
+        sequence: number of the last heartbeat sent.
+        last_sent_ms: when it was sent, on the process's clock.
+        last_check_ms: when `reset_after_pause` was last called.
+        last_heard_ms: when each monitored entry was last known to be alive.
+    """
 
     def __init__(self, directory: Directory, network: Network, clock: Clock) -> None:
-        """Start having heard nobody."""
+        """Start without having heard from any entry."""
         self.directory = directory
         self.network = network
         self.clock = clock
@@ -32,18 +39,21 @@
         self.last_heard_ms: dict[str, float] = {}
 
     def record_alive(self, incarnation: str) -> None:
-        """Note a sign of life."""
+        """Note that an entry is alive now."""
         self.last_heard_ms[incarnation] = self.clock.now_ms()
 
     def reset_after_pause(self) -> None:
-        """After a pause of our own, give everybody time to be heard again."""
+        """Restart all timeouts if this process itself was paused.
+
+        Heartbeats that came during the pause may not have been read yet.
+        """
         now_ms = self.clock.now_ms()
         if now_ms - self.last_check_ms > MAX_CHECK_GAP_MS:
             self.last_heard_ms.clear()
         self.last_check_ms = now_ms
 
     def send_heartbeat(self, own_record: EntryRecord) -> None:
-        """Send a heartbeat, when one is due, to those that watch over us."""
+        """Send a heartbeat, if one is due, to the entries that monitor this one."""
         now_ms = self.clock.now_ms()
         if now_ms - self.last_sent_ms < HEARTBEAT_INTERVAL_MS:
             return
@@ -54,7 +64,7 @@
             self.network.send_datagram(own_record.address, observer.address, payload)
 
     def silent_entries(self, own_record: EntryRecord) -> list[EntryRecord]:
-        """Give the entries that this one should take over."""
+        """Return the entries that this one should probe and take over."""
         return [
             record
             for record in self.directory.live_entries()
@@ -63,7 +73,12 @@
         ]
 
     def is_silent(self, record: EntryRecord, own_record: EntryRecord) -> bool:
-        """Tell whether an entry under our watch has been silent too long."""
+        """Return whether a monitored entry has been silent for too long.
+
+        The timeout is longer for entries of other regions, and grows by
+        `RANK_DELAY_MS` with this entry's rank among the observers, so that
+        they don't all react at once.
+        """
         observers = [
             observer.incarnation
             for observer in self.directory.observers(record.incarnation, OBSERVERS)
--- a/pollenwalk/process/maintenance.py
+++ b/pollenwalk/process/maintenance.py
@@ -1,4 +1,4 @@
-"""What a home does regularly: leases, idle programs, and retention."""
+"""Periodic work on an owner's programs: leases, idle programs, retention."""
 
 from loguru import logger
 
@@ -19,23 +19,28 @@
 
 
 class ProgramMaintenance:
-    """Keeps the programs of one home in order."""
+    """Renews leases, ends idle programs and drops old ones for one owner.
+
+    Attributes:
+        ended_ms: when each ended program was first seen by the sweep.
+    """
 
     def __init__(self, owner: OwnerInterface) -> None:
-        """Look after `home`."""
+        """Maintain the programs of `owner`."""
         self.owner = owner
         self.context = owner.context
         self.ended_ms: dict[str, float] = {}
 
     def start(self) -> None:
-        """Start the regular work."""
+        """Start the periodic tasks."""
         self.owner.tasks.spawn(self.renew(), 'renew')
         self.owner.tasks.spawn(self.sweep(), 'sweep')
 
     async def release(self, program: Program) -> None:
-        """Ask every sidecar that holds memory to return it.
+        """Ask every sidecar that holds engine memory for a program to free it.
 
-        A sidecar that can't be reached returns it when the lease lapses.
+        A sidecar that does not answer after `RELEASE_ATTEMPTS` frees it when
+        the lease expires.
         """
         pending = list(program.holders)
         for _ in range(RELEASE_ATTEMPTS):
@@ -49,7 +54,7 @@
             await self.context.clock.sleep_ms(RELEASE_TIMEOUT_MS)
 
     async def release_at(self, address: str, program_id: str) -> bool:
-        """Ask one sidecar; tell whether it has returned the memory."""
+        """Ask one sidecar to free memory, and return whether it confirmed."""
         try:
             await self.context.peers(address).ask(
                 Release([program_id]),
@@ -60,14 +65,14 @@
         return True
 
     async def renew(self) -> None:
-        """Renew the leases on engine memory, one message a sidecar."""
+        """Renew the leases on engine memory, with one message to each sidecar."""
         while True:
             for address, programs in self.programs_by_sidecar().items():
                 self.owner.tasks.spawn(self.renew_at(address, programs), 'renew_at')
             await self.context.clock.sleep_ms(RENEW_INTERVAL_MS)
 
     def programs_by_sidecar(self) -> dict[str, list[str]]:
-        """Give the running programs by the sidecars that hold for them."""
+        """Return, by sidecar address, the running programs with memory there."""
         programs_by_sidecar: dict[str, list[str]] = {}
         for program in self.owner.book.programs.values():
             if program.ended:
@@ -77,14 +82,14 @@
         return programs_by_sidecar
 
     async def renew_at(self, address: str, programs: list[str]) -> None:
-        """Renew at one sidecar; a lost message only shortens the lease."""
+        """Renew leases at one sidecar; the next round makes up for a lost one."""
         try:
             await self.context.peers(address).ask(Renew(programs), RENEW_INTERVAL_MS)
         except (ConnectionLost, Refusal):
             logger.debug('renew_lost', address=address)
 
     async def sweep(self) -> None:
-        """End idle programs and drop ended ones after their retention."""
+        """End idle and overdue programs, and drop ended ones after retention."""
         while True:
             await self.context.clock.sleep_ms(SWEEP_INTERVAL_MS)
             self.owner.drop_claims()
@@ -92,7 +97,10 @@
                 await self.sweep_program(program)
 
     async def sweep_program(self, program: Program) -> None:
-        """End or drop one program if it is time."""
+        """End or drop one program if it is due.
+
+        Errors are logged, and the next sweep tries again.
+        """
         now_ms = self.context.clock.now_ms()
         live = self.owner.find(program.id)
         spec = self.context.config.program(program.declaration) or ProgramSpec([])
@@ -109,7 +117,7 @@
             logger.debug('sweep_put_off', program=program.id, reason=str(error))
 
     async def drop_program(self, live: LiveProgram) -> None:
-        """Forget an ended program."""
+        """Record that an ended program is dropped, and remove it."""
         program_id = live.program.id
         await self.context.recorder.record(
             live,
--- a/pollenwalk/process/peers.py
+++ b/pollenwalk/process/peers.py
@@ -1,4 +1,4 @@
-"""The peers of a process, one connection for each address."""
+"""The connections of a process to its peers, one for each address."""
 
 from pollenwalk.connection.channel import Network
 from pollenwalk.connection.peer import Peer
@@ -7,10 +7,16 @@
 
 
 class Peers:
-    """Connections to other processes, opened at first use."""
+    """Peers by address; each is connected at first use.
+
+    Attributes:
+        incarnation: this process's incarnation, as told to peers.
+        zone: this process's availability zone, as told to peers.
+        by_address: the peers that have been used.
+    """
 
     def __init__(self, network: Network, clock: Clock, tasks: TaskSet) -> None:
-        """Start with none."""
+        """Start without peers."""
         self.network = network
         self.clock = clock
         self.tasks = tasks
@@ -19,7 +25,7 @@
         self.by_address: dict[str, Peer] = {}
 
     def identify(self, incarnation: str, zone: str) -> None:
-        """Set who this process is; earlier connections are dropped."""
+        """Set what peers are told about this process; close old connections."""
         self.incarnation = incarnation
         self.zone = zone
         old_peers = self.by_address
@@ -28,7 +34,7 @@
             self.tasks.spawn(peer.close(), 'peer_close')
 
     def at(self, address: str) -> Peer:
-        """Give the peer at an address."""
+        """Return the peer at an address."""
         peer = self.by_address.get(address)
         if peer is None:
             peer = Peer(address, self.network, self.clock, self.tasks)
--- a/pollenwalk/process/program_ids.py
+++ b/pollenwalk/process/program_ids.py
@@ -1,4 +1,4 @@
-"""Program ids, which carry the incarnation of their first home."""
+"""Program ids, which contain the incarnation of the program's first owner."""
 
 import random
 
@@ -10,15 +10,15 @@
 
 
 def new_program_id(incarnation: str, rng: random.Random) -> str:
-    """Make the id of a program whose home is an incarnation."""
+    """Return a new random id for a program of an incarnation."""
     return f'{PREFIX}-{incarnation}-{rng.getrandbits(ID_BITS):016x}'
 
 
 def owner_of(program_id: str) -> str:
-    """Read the home's incarnation off a program's id.
+    """Return the incarnation of a program's first owner, read from its id.
 
     Raises:
-        Refusal: the id is not of our making.
+        Refusal: the id does not have the form of a program id.
     """
     parts = program_id.split('-')
     if len(parts) != ID_PARTS or parts[0] != PREFIX:
@@ -27,5 +27,5 @@
 
 
 def unknown_program(program_id: str) -> Refusal:
-    """Refuse a program that is not known here."""
+    """Return the refusal for a program that does not exist here."""
     return Refusal(RefusalCode.UNKNOWN_PROGRAM, f'no program {program_id}')
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -1,4 +1,4 @@
-"""Finding out what became of a dead home's non-idempotent calls."""
+"""Resolves the non-idempotent calls that a dead owner left open."""
 
 from collections.abc import Iterable
 
@@ -22,15 +22,19 @@
 
 
 class Recovery:
-    """Settles the intents of programs that a home has adopted."""
+    """Resolves the intents of adopted programs: whether each call ran, and how."""
 
     def __init__(self, owner: OwnerInterface) -> None:
-        """Recover the programs of `home`."""
+        """Recover programs of `owner`."""
         self.owner = owner
         self.context = owner.context
 
     def recover(self, programs: Iterable[Program]) -> None:
-        """Find out what became of the intents of adopted programs."""
+        """Start to resolve the intents of adopted programs.
+
+        Programs that have ended release their engine memory again, as the
+        dead owner may not have done so.
+        """
         for program in programs:
             live = self.owner.find(program.id)
             live.doubtful = program.next_sequence
@@ -53,7 +57,11 @@
         call: LiveCall,
         intent: Intended,
     ) -> None:
-        """Ask the sidecar that an intent names, and never dispatch again."""
+        """Ask the sidecar that an intent names how the call ended.
+
+        The dispatch is never repeated, as the call may have run. Its outcome
+        is unknown if the sidecar can't tell within `RECOVERY_TIMEOUT_MS`.
+        """
         resolver = Resolver(
             self.context.peers(intent.address),
             self.context.clock,
@@ -81,9 +89,9 @@
         call: LiveCall,
         intent: Intended,
     ) -> None:
-        """Record that an intent was proven not to have run.
+        """Record that an intended call is proven not to have run.
 
-        Where a caller waits for it, the call is then run for the first time.
+        If a caller is waiting for it, the call is then run.
         """
         await self.context.recorder.record(
             live,
@@ -95,7 +103,7 @@
         call.refuse(
             Refusal(
                 RefusalCode.CANCELLED,
-                'its entry died before the call was handed over',
+                'its entry died before it dispatched the call',
                 retry_after_ms=0,
             ),
         )
@@ -107,7 +115,7 @@
         intent: Intended,
         ending: Answer | Refusal,
     ) -> None:
-        """Record how a call of a dead home ended."""
+        """Record how an intended call ended, and answer its callers."""
         answer = ending if isinstance(ending, Answer) else None
         refusal = ending if isinstance(ending, Refusal) else None
         if refusal is not None and refusal.outcome == Outcome.NOT_RUN:
@@ -136,7 +144,7 @@
 
 
 def rebuild_request(intent: Intended) -> CallProgram:
-    """Rebuild the request that an intent stands for."""
+    """Return the request from which an intent was made, with a new deadline."""
     return CallProgram(
         intent.program,
         intent.key,
--- a/pollenwalk/process/report_targets.py
+++ b/pollenwalk/process/report_targets.py
@@ -1,8 +1,8 @@
-"""Which entries a sidecar reports to, and how often.
+"""Chooses the entries that a sidecar reports to, and how often.
 
-A few entries of its own region, chosen by rendezvous so that few change when
-an entry comes or goes. While there are few entries all are told, which also
-lets the regions see each other's hosts.
+A sidecar reports to a few entries of its own region, chosen by rendezvous
+hashing so that few change when an entry is added or removed. While there are
+few entries, it reports to all, so that regions see each other's hosts too.
 """
 
 import hashlib
@@ -20,7 +20,13 @@
 
 
 class ReportTargets:
-    """Answers reports with the entries to report to."""
+    """Chooses the entries for each sidecar, cached until the directory changes.
+
+    Attributes:
+        regions: the region of each zone.
+        addresses_by_sidecar: the chosen addresses, a cache.
+        seen_change_count: the directory's change count that the cache is for.
+    """
 
     def __init__(self, directory: Directory, regions: dict[str, str]) -> None:
         """Choose among the entries of `directory`."""
@@ -30,14 +36,15 @@
         self.seen_change_count = -1
 
     def entries_for(self, report: Report, hosts: int) -> Entries:
-        """Choose for one sidecar.
+        """Return the entries and the interval for one sidecar's reports.
 
         Args:
-            report: its report.
+            report: the sidecar's last report.
             hosts: how many sidecars report to this entry.
 
         Returns:
-            What to send it, unless the report's digest is the same.
+            The message for the sidecar, which has it already if its report
+            has the same digest.
         """
         if self.seen_change_count != self.directory.change_count:
             self.addresses_by_sidecar.clear()
@@ -52,7 +59,7 @@
         return Entries(addresses, interval_ms, digest)
 
     def choose_addresses(self, report: Report) -> list[str]:
-        """Rank the entries for one sidecar."""
+        """Return the addresses that one sidecar should report to."""
         live = {record.incarnation: record for record in self.directory.live_entries()}
         if len(live) <= ALL_ENTRIES_LIMIT:
             return sorted(record.address for record in live.values())
@@ -65,13 +72,20 @@
     def rank_addresses(
         self, report: Report, candidates: dict[str, EntryRecord]
     ) -> list[str]:
-        """Give the addresses of the first few."""
+        """Return the addresses of the `MAX_TARGETS` highest-ranked entries."""
         ranked = rendezvous(report.sidecar, candidates)
         return [candidates[name].address for name in ranked[:MAX_TARGETS]]
 
 
 def report_interval_ms(hosts: int) -> int:
-    """Give the time between reports in ms, so that an entry can bear them."""
+    """Return the time in ms between a sidecar's reports.
+
+    It limits an entry's load to `REPORTS_PER_SECOND`, up to
+    `MAX_INTERVAL_MS`.
+
+    Args:
+        hosts: how many sidecars report to the entry.
+    """
     required_ms = hosts * INTERVAL_STEP_MS // REPORTS_PER_SECOND
     steps = -(-required_ms // INTERVAL_STEP_MS)
     return min(max(steps * INTERVAL_STEP_MS, MIN_INTERVAL_MS), MAX_INTERVAL_MS)
--- a/pollenwalk/process/write_limiter.py
+++ b/pollenwalk/process/write_limiter.py
@@ -1,8 +1,8 @@
-"""How often an entry may write to the store.
+"""Limits the rate at which an entry writes to the store.
 
 The store takes several hundred writes a second from all entries together, so
-each takes an equal share of a fleet-wide budget. Slow answers and refusals
-halve an entry's share, successes restore it step by step (additive increase,
+each gets an equal share of a common budget. Slow or failed writes halve an
+entry's share, successful ones restore it step by step (additive increase,
 multiplicative decrease; D. Chiu and R. Jain, 1989).
 """
 
@@ -18,7 +18,15 @@
 
 
 class WriteLimiter:
-    """A token bucket whose rate follows the store and the fleet."""
+    """A token bucket whose rate adapts to the store and the number of entries.
+
+    Attributes:
+        writes_per_second: budget of all entries together.
+        count_entries: returns the number of live entries.
+        share: fraction of this entry's equal share that it uses, up to 1.
+        permits: how many writes may be made without waiting.
+        refilled_ms: when permits were last added, on the process's clock.
+    """
 
     def __init__(
         self,
@@ -26,7 +34,7 @@
         writes_per_second: float,
         count_entries: Callable[[], int],
     ) -> None:
-        """Share `writes_per_second` among as many as `entries` counts."""
+        """Divide `writes_per_second` by the number of entries."""
         self.clock = clock
         self.writes_per_second = writes_per_second
         self.count_entries = count_entries
@@ -36,18 +44,18 @@
 
     @property
     def rate(self) -> float:
-        """Give the writes a second that this entry may make."""
+        """Return the writes per second that this entry may make."""
         return self.writes_per_second * self.share / max(self.count_entries(), 1)
 
     def refill(self) -> None:
-        """Count what the time since the last write allows."""
+        """Add the permits for the time since the last refill."""
         now_ms = self.clock.now_ms()
         added = self.rate * (now_ms - self.refilled_ms) / MS_PER_SECOND
         self.permits = min(self.permits + added, self.rate * BURST_S)
         self.refilled_ms = now_ms
 
     async def acquire(self) -> None:
-        """Wait until the next write is within the share."""
+        """Wait until the next write is within the rate, and use its permit."""
         self.refill()
         if self.permits < 1:
             await self.clock.sleep_ms((1 - self.permits) / self.rate * MS_PER_SECOND)
@@ -55,12 +63,12 @@
         self.permits -= 1
 
     def record_answer(self, took_ms: float) -> None:
-        """Note a write that was answered."""
+        """Adapt the share to a write that was answered after `took_ms`."""
         if took_ms > SLOW_WRITE_MS:
             self.record_failure()
             return
         self.share = min(self.share + SHARE_INCREMENT, 1.0)
 
     def record_failure(self) -> None:
-        """Note a write that was refused, lost or slow."""
+        """Reduce the share after a write that failed, was lost or was slow."""
         self.share = max(self.share * SHARE_DECREASE_FACTOR, MIN_SHARE)
