--- a/test/process/test_journal.py
+++ b/test/process/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal: durable once, fenced for good."""
+"""Tests that the journal stores each commit once and stays fenced once sealed."""
 
 import random
 
@@ -14,20 +14,20 @@
 from standin.store import Faults, MemoryStore
 from test.helper import make_clock, virtual
 
-OWNER = 'home'
+OWNER = 'owner'
 SUCCESSOR = 'successor'
 RECORDS = [Ended('p')]
 
 
 def make_journal(store: MemoryStore) -> Journal:
-    """Start a journal without witnesses."""
+    """Start the owner's journal, without witnesses."""
     journal = Journal(store, store.clock, TaskSet(), OWNER, random.Random(1))
     journal.start()
     return journal
 
 
 def make_takeover(store: MemoryStore) -> Takeover:
-    """Prepare a takeover without witnesses."""
+    """Return a takeover by the successor, without witnesses."""
     return Takeover(
         store,
         store.clock,
@@ -49,10 +49,10 @@
 
 
 class JournalTest(testtools.TestCase):
-    """One home, one store."""
+    """One owner's journal in a store that may fail, lose answers or be slow."""
 
     @virtual
-    async def test_commits_once_under_each_fault(self) -> None:
+    async def test_commit_is_stored_once_under_each_fault(self) -> None:
         for name, faults in FAULTS:
             store = MemoryStore(make_clock())
             journal = make_journal(store)
@@ -63,7 +63,7 @@
             self.assertEqual(RECORDS, content.records(), name)
 
     @virtual
-    async def test_seal_fences_under_each_fault(self) -> None:
+    async def test_seal_fences_owner_under_each_fault(self) -> None:
         for name, faults in FAULTS:
             store = MemoryStore(make_clock())
             journal = make_journal(store)
@@ -78,13 +78,13 @@
     @virtual
     async def test_only_one_seal_wins(self) -> None:
         store = MemoryStore(make_clock())
-        first = await make_takeover(store).claim_ownership(OWNER)
-        other = make_takeover(store)
-        other.successor = 'late'
-        self.assertEqual(first, await other.claim_ownership(OWNER))
+        winner = await make_takeover(store).claim_ownership(OWNER)
+        late_takeover = make_takeover(store)
+        late_takeover.successor = 'late'
+        self.assertEqual(winner, await late_takeover.claim_ownership(OWNER))
 
     @virtual
-    async def test_waits_out_an_outage(self) -> None:
+    async def test_commit_waits_for_store_outage_to_end(self) -> None:
         store = MemoryStore(make_clock())
         journal = make_journal(store)
         store.faults = Faults(down=True)
@@ -97,7 +97,7 @@
         self.assertFalse(journal.stalled)
 
     @virtual
-    async def test_groups_concurrent_commits(self) -> None:
+    async def test_concurrent_commits_share_one_segment(self) -> None:
         store = MemoryStore(make_clock())
         journal = make_journal(store)
         commits = [
--- a/test/process/test_limits.py
+++ b/test/process/test_limits.py
@@ -1,4 +1,4 @@
-"""Pacing, retries and subsets: what keeps an outage or a fleet bounded."""
+"""Tests of the write limiter, the retry budget and the choice of report targets."""
 
 import random
 
@@ -25,11 +25,11 @@
 REGIONS = {'rimouski': 'est', 'gatineau': 'ouest'}
 
 
-class PaceTest(testtools.TestCase):
-    """Writes within a share of the fleet's budget."""
+class WriteLimiterTest(testtools.TestCase):
+    """Writes to the store within an entry's share of the common budget."""
 
     @virtual
-    async def test_keeps_to_its_share(self) -> None:
+    async def test_rate_is_an_equal_share(self) -> None:
         clock = make_clock()
         write_limiter = WriteLimiter(clock, 200, lambda: 4)
         for _ in range(150):
@@ -40,7 +40,7 @@
         self.assertAlmostEqual(2000, clock.now_ms() - begun_ms, delta=30)
 
     @virtual
-    async def test_saves_for_a_burst(self) -> None:
+    async def test_unused_permits_allow_a_burst(self) -> None:
         clock = make_clock()
         write_limiter = WriteLimiter(clock, 200, lambda: 4)
         await clock.sleep_ms(60_000)
@@ -50,7 +50,7 @@
         self.assertEqual(begun_ms, clock.now_ms())
 
     @virtual
-    async def test_gives_way_and_comes_back(self) -> None:
+    async def test_share_falls_on_failures_and_recovers(self) -> None:
         write_limiter = WriteLimiter(make_clock(), 200, lambda: 4)
         for _ in range(20):
             write_limiter.record_failure()
@@ -85,11 +85,11 @@
             self.assertGreater(max(pauses), ceiling * 0.9)
 
 
-class SubsetsTest(testtools.TestCase):
-    """Which entries a sidecar reports to."""
+class ReportTargetsTest(testtools.TestCase):
+    """The choice of the entries that a sidecar reports to, and how often."""
 
     async def make(self, count: int) -> Directory:
-        """Make a directory of entries in one region, and one in another."""
+        """Return a directory of `count` entries in one region."""
         directory = Directory(MemoryStore(make_clock()), make_clock())
         for number in range(count):
             record = EntryRecord(f'e{number}', f'e{number}:1', 'rimouski', 'est', 0)
@@ -102,7 +102,7 @@
         return directory
 
     def report(self, number: int) -> Report:
-        """Make one sidecar's report."""
+        """Return a report of one sidecar."""
         return Report(
             f's{number}',
             *('boot', 'advisory', 's:1', 'rimouski'),
@@ -113,7 +113,7 @@
         )
 
     @virtual
-    async def test_few_entries_hear_everybody(self) -> None:
+    async def test_all_entries_are_targets_while_few(self) -> None:
         report_targets = ReportTargets(await self.make(5), REGIONS)
         self.assertEqual(
             5, len(report_targets.entries_for(self.report(1), 10).addresses)
@@ -122,17 +122,17 @@
     @virtual
     async def test_many_entries_share_the_sidecars(self) -> None:
         report_targets = ReportTargets(await self.make(40), REGIONS)
-        heard: dict[str, int] = {}
+        sidecars: dict[str, int] = {}
         for number in range(1000):
             chosen = report_targets.entries_for(self.report(number), 100).addresses
             self.assertEqual(MAX_TARGETS, len(chosen))
             for address in chosen:
-                heard[address] = heard.get(address, 0) + 1
-        self.assertLess(max(heard.values()), 150)
-        self.assertGreater(min(heard.values()), 60)
+                sidecars[address] = sidecars.get(address, 0) + 1
+        self.assertLess(max(sidecars.values()), 150)
+        self.assertGreater(min(sidecars.values()), 60)
 
     @virtual
-    async def test_little_changes_when_an_entry_goes(self) -> None:
+    async def test_only_targets_of_a_removed_entry_change(self) -> None:
         directory = await self.make(40)
         report_targets = ReportTargets(directory, REGIONS)
         before = {
@@ -146,7 +146,7 @@
             after = set(report_targets.entries_for(self.report(number), 100).addresses)
             self.assertEqual(addresses - {'e7:1'}, addresses & after)
 
-    def test_interval_bounds_what_an_entry_hears(self) -> None:
+    def test_interval_grows_with_the_number_of_hosts(self) -> None:
         for hosts, expected in (
             (1, 1000),
             (13, 1000),
