--- a/pollenwalk/connection/gateway_app.py
+++ b/pollenwalk/connection/gateway_app.py
@@ -10,8 +10,8 @@
 
 from pollenwalk.errors import BrokenAnswer, Outcome, Refusal, RefusalCode
 from pollenwalk.platform.headers import (
+    forwardable_headers,
     read_request_metadata,
-    request_headers,
     retry_header,
 )
 from pollenwalk.process.clock import Clock
@@ -204,7 +204,7 @@
         target=b'?'.join((path, query)) if query else path,
         path=path.decode('latin-1'),
         host=host.decode('latin-1'),
-        headers=request_headers(headers),
+        headers=forwardable_headers(headers),
         body=body,
         metadata=read_request_metadata(headers),
         arrived_ms=arrived_ms,
--- a/pollenwalk/process/adoption.py
+++ b/pollenwalk/process/adoption.py
@@ -13,12 +13,8 @@
 from pollenwalk.process.program_owner import ProgramOwner
 from pollenwalk.process.segments import JournalContent, segment_key
 from pollenwalk.process.store import Backoff, ObjectStore, StoredObject
-from pollenwalk.process.takeover import (
-    Takeover,
-    adopted_incarnations,
-    replay,
-)
-from pollenwalk.program.program import ProgramBook, snapshot_of
+from pollenwalk.process.takeover import Takeover, adopted_incarnations, replay
+from pollenwalk.program.program import ProgramTable, snapshot_of
 from pollenwalk.program.records import Adopted, Claimed, Snapshot
 
 MAX_COMMIT_BYTES = 300_000
@@ -83,28 +79,28 @@
         Incarnations that the dead entry had adopted get this successor too.
         """
         sealed = await self.takeover.read_sealed(dead)
-        book = replay(sealed)
-        await self.commit_snapshots(book, dead)
-        self.owner.book.join(book)
-        self.owner.recovery.recover(book.programs.values())
+        table = replay(sealed)
+        await self.commit_snapshots(table, dead)
+        self.owner.table.merge(table)
+        self.owner.recovery.recover(table.programs.values())
         inherited = adopted_incarnations(sealed)
         self.adopted.update(dict.fromkeys([dead, *sorted(inherited)]))
-        logger.info('entry_adopted', dead=dead, programs=len(book.programs))
+        logger.info('entry_adopted', dead=dead, programs=len(table.programs))
         for incarnation in sorted(inherited):
             await self.record_successor(incarnation)
         await self.delete_segments(dead, sealed.content)
 
-    async def commit_snapshots(self, book: ProgramBook, dead: str) -> None:
+    async def commit_snapshots(self, table: ProgramTable, dead: str) -> None:
         """Commit snapshots of all programs, then the claims and `Adopted`.
 
         The snapshots take effect only with the `Adopted` record.
         """
         journal = self.owner.context.recorder.journal
-        for chunk in snapshot_chunks(book, dead):
+        for chunk in snapshot_chunks(table, dead):
             await journal.commit(chunk)
         claims = [
             Claimed(caller, key, program)
-            for (caller, key), program in book.claims.items()
+            for (caller, key), program in table.claims.items()
         ]
         await journal.commit([*claims, Adopted(dead)])
 
@@ -156,23 +152,23 @@
                 return
 
 
-def snapshot_chunks(book: ProgramBook, origin: str) -> list[list[Snapshot]]:
-    """Split a book's programs into commits of at most `MAX_COMMIT_BYTES`.
+def snapshot_chunks(table: ProgramTable, origin: str) -> list[list[Snapshot]]:
+    """Split a table's programs into commits of at most `MAX_COMMIT_BYTES`.
 
     A commit has at least one program, however large.
 
     Args:
-        book: the programs.
+        table: the programs.
         origin: the incarnation that they are adopted from.
     """
-    context: list[list[Snapshot]] = [[]]
+    commits: list[list[Snapshot]] = [[]]
     size = 0
-    for program in book.programs.values():
+    for program in table.programs.values():
         snapshot = snapshot_of(program, origin)
         snapshot_bytes = len(msgspec.msgpack.encode(snapshot))
-        if context[-1] and size + snapshot_bytes > MAX_COMMIT_BYTES:
-            context.append([])
+        if commits[-1] and size + snapshot_bytes > MAX_COMMIT_BYTES:
+            commits.append([])
             size = 0
-        context[-1].append(snapshot)
+        commits[-1].append(snapshot)
         size += snapshot_bytes
-    return [part for part in context if part]
+    return [commit for commit in commits if commit]
--- a/pollenwalk/process/compaction.py
+++ b/pollenwalk/process/compaction.py
@@ -87,7 +87,7 @@
         A program without an entry, such as an adopted one, may need any
         segment that is left.
         """
-        known = self.owner.book.programs
+        known = self.owner.table.programs
         self.first_segments = {
             program: segment
             for program, segment in self.first_segments.items()
@@ -115,7 +115,7 @@
         """Commit all claims again; they are small and expire soon."""
         claims = [
             Claimed(caller, key, program)
-            for (caller, key), program in self.owner.book.claims.items()
+            for (caller, key), program in self.owner.table.claims.items()
         ]
         segment = self.journal.next_segment
         if claims:
--- a/pollenwalk/process/keeper_state.py
+++ b/pollenwalk/process/keeper_state.py
@@ -78,7 +78,7 @@
                 message.program,
                 message.turn,
                 message.tokens,
-                message.kept_ms,
+                message.retention_ms,
             )
             self.ledger.settle(settled)
         elif isinstance(message, ReserveTokens):
@@ -99,13 +99,13 @@
 
     def chain(self, turn: str) -> Chain:
         """Find a turn and those before it."""
-        return self.turns.chain(turn)._replace(complete=self.complete)
+        return self.turns.use_chain(turn)._replace(complete=self.complete)
 
     def account_records(self) -> Iterator[bytes]:
         """Encode all that is known of programs' tokens."""
         for program, account in list(self.ledger.accounts.items()):
             for entry in list(account.entries.values()):
-                yield encode_datagram(as_record(program, entry, account.kept_ms))
+                yield encode_datagram(as_record(program, entry, account.retention_ms))
 
     def scarce_turns(self, alive: Collection[str], copies: int) -> Iterator[bytes]:
         """Encode the turns of which fewer copies are left than needed.
@@ -115,7 +115,7 @@
             copies: that are needed.
         """
         for record in list(self.turns.records.values()):
-            if len(set(record.holders).intersection(alive)) < copies:
+            if len(set(record.replicas).intersection(alive)) < copies:
                 yield encode_datagram(record)
 
     async def take_over(self, records: Iterable[bytes]) -> int:
@@ -154,8 +154,8 @@
         self.ledger.expire()
 
 
-def as_record(program: str, entry: TokenEntry, kept_ms: float) -> Any:
+def as_record(program: str, entry: TokenEntry, retention_ms: float) -> Any:
     """Turn an entry of an account back into the record that made it."""
     if entry.settled:
-        return SettleTokens(program, entry.turn, entry.tokens, kept_ms)
-    return ReserveTokens(program, entry.turn, entry.tokens, kept_ms)
+        return SettleTokens(program, entry.turn, entry.tokens, retention_ms)
+    return ReserveTokens(program, entry.turn, entry.tokens, retention_ms)
--- a/pollenwalk/process/maintenance.py
+++ b/pollenwalk/process/maintenance.py
@@ -42,7 +42,7 @@
         A sidecar that does not answer after `RELEASE_ATTEMPTS` frees it when
         the lease expires.
         """
-        pending = list(program.holders)
+        pending = list(program.engine_sidecars)
         for _ in range(RELEASE_ATTEMPTS):
             pending = [
                 address
@@ -74,10 +74,10 @@
     def programs_by_sidecar(self) -> dict[str, list[str]]:
         """Return, by sidecar address, the running programs with memory there."""
         programs_by_sidecar: dict[str, list[str]] = {}
-        for program in self.owner.book.programs.values():
+        for program in self.owner.table.programs.values():
             if program.ended:
                 continue
-            for address in program.holders:
+            for address in program.engine_sidecars:
                 programs_by_sidecar.setdefault(address, []).append(program.id)
         return programs_by_sidecar
 
@@ -93,7 +93,7 @@
         while True:
             await self.context.clock.sleep_ms(SWEEP_INTERVAL_MS)
             self.owner.drop_claims()
-            for program in list(self.owner.book.programs.values()):
+            for program in list(self.owner.table.programs.values()):
                 await self.sweep_program(program)
 
     async def sweep_program(self, program: Program) -> None:
@@ -106,7 +106,7 @@
         spec = self.context.config.program(program.declaration) or ProgramSpec([])
         try:
             if not program.ended:
-                idle = now_ms - live.used_ms > spec.idle_ms
+                idle = now_ms - live.last_used_ms > spec.idle_ms
                 if not live.calls and (idle or live.is_overdue()):
                     await self.owner.end(program.id)
                 return
--- a/pollenwalk/process/metrics.py
+++ b/pollenwalk/process/metrics.py
@@ -71,11 +71,11 @@
 
     def render(self, entry: EntryInterface) -> tuple[bytes, str]:
         """Read the gauges off an entry and give the text of all metrics."""
-        self.programs.set({}, len(entry.owner.book.programs))
+        self.programs.set({}, len(entry.owner.table.programs))
         self.pending.set({}, len(entry.journal.pending))
         self.segments.set({}, entry.journal.segments_written)
         self.hosts.set({}, len(entry.fleet.hosts))
         self.forwarded.set({}, entry.routing.forwarded)
-        self.version.set({}, entry.config.newest())
+        self.version.set({}, entry.config.highest_version())
         body, headers = render(self.registry, ['text/plain'])
         return body, headers['Content-Type']
--- a/pollenwalk/process/owner_interface.py
+++ b/pollenwalk/process/owner_interface.py
@@ -9,7 +9,7 @@
 
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.program.live import LiveCall, LiveProgram
-from pollenwalk.program.program import Program, ProgramBook
+from pollenwalk.program.program import Program, ProgramTable
 from pollenwalk.request.entry_context import EntryContext
 
 
@@ -18,13 +18,13 @@
 
     Attributes:
         context: services that all calls of the entry share.
-        book: the durable state of the programs.
+        table: the durable state of the programs.
         tasks: background tasks.
         live: state of the programs that is not durable, by program id.
     """
 
     context: EntryContext
-    book: ProgramBook
+    table: ProgramTable
     tasks: TaskSet
     live: dict[str, LiveProgram]
 
--- a/pollenwalk/process/program_creator.py
+++ b/pollenwalk/process/program_creator.py
@@ -89,7 +89,7 @@
             Refusal: it was not created, as its parent had spent or given away
                 the tokens before the commit.
         """
-        if program_id not in self.owner.book.programs:
+        if program_id not in self.owner.table.programs:
             raise Refusal(
                 RefusalCode.BUDGET_EXHAUSTED,
                 'the parent has too few tokens to give',
@@ -98,11 +98,11 @@
 
     def find_existing(self, request: BeginProgram) -> Program | None:
         """Return the program that was created with this key or id."""
-        book = self.owner.book
+        table = self.owner.table
         program_id = request.program
         if request.key:
-            program_id = book.by_key.get((request.caller, request.key), program_id)
-        return book.programs.get(program_id)
+            program_id = table.ids_by_key.get((request.caller, request.key), program_id)
+        return table.programs.get(program_id)
 
     async def claim(self, caller: str, key: str, program: str) -> str:
         """Record which program an idempotency key creates; the first claim wins.
@@ -120,7 +120,7 @@
             Fenced: a successor has sealed the journal; retry there.
         """
         identity = (caller, key)
-        existing = self.owner.book.claims.get(identity)
+        existing = self.owner.table.claims.get(identity)
         if existing or not program:
             return existing or ''
         self.owner.check_accepts_work()
@@ -134,7 +134,7 @@
             task.add_done_callback(lambda _: self.pending_claims.pop(identity, None))
         await self.wait_durable(task)
         self.claimed_ms[identity] = self.context.clock.now_ms()
-        return self.owner.book.claims[identity]
+        return self.owner.table.claims[identity]
 
     def check_repeat(self, program: Program, request: BeginProgram) -> Program:
         """Check that a repeated key comes with the same declaration.
@@ -172,7 +172,7 @@
             request.key,
             request.parent or '',
             limit,
-            Budget(limit).ahead(spec.reserve_tokens),
+            Budget(limit).cap_reserve_ahead(spec.reserve_tokens),
             min(request.deadline_ms or spec.deadline_ms, spec.deadline_ms),
         )
         pending_program = PendingProgram(program_id, self.record_creation(record))
@@ -216,7 +216,7 @@
         budget = self.context.config.budget(request.caller)
         running = [
             program
-            for program in self.owner.book.programs.values()
+            for program in self.owner.table.programs.values()
             if program.caller == request.caller and not program.ended
         ]
         granted = sum(program.budget.limit for program in running)
@@ -265,8 +265,8 @@
     def drop_claims(self) -> None:
         """Remove key claims that are older than `CLAIM_RETENTION_MS`."""
         now_ms = self.context.clock.now_ms()
-        for identity in list(self.owner.book.claims):
+        for identity in list(self.owner.table.claims):
             claimed_ms = self.claimed_ms.setdefault(identity, now_ms)
             if now_ms - claimed_ms > CLAIM_RETENTION_MS:
-                self.owner.book.claims.pop(identity)
+                self.owner.table.claims.pop(identity)
                 self.claimed_ms.pop(identity)
--- a/pollenwalk/process/program_owner.py
+++ b/pollenwalk/process/program_owner.py
@@ -7,17 +7,13 @@
 from collections.abc import AsyncIterator, Coroutine, Iterator
 from typing import Any
 
-from pollenwalk.connection.wire import (
-    Answer,
-    CallProgram,
-    Tokens,
-)
+from pollenwalk.connection.wire import Answer, CallProgram, Tokens
 from pollenwalk.errors import (
     Outcome,
     PollenwalkError,
     Refusal,
     RefusalCode,
-    sealed,
+    fenced_error,
 )
 from pollenwalk.process.maintenance import ProgramMaintenance
 from pollenwalk.process.program_creator import ProgramCreator
@@ -26,12 +22,8 @@
 from pollenwalk.process.recovery import Recovery
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.program.live import LiveProgram
-from pollenwalk.program.program import FinishedCall, Program, ProgramBook
-from pollenwalk.program.records import (
-    Ended,
-    Forfeited,
-    Record,
-)
+from pollenwalk.program.program import FinishedCall, Program, ProgramTable
+from pollenwalk.program.records import Ended, Forfeited, Record
 from pollenwalk.request.call import LiveCall, check_request
 from pollenwalk.request.entry_context import EntryContext
 from pollenwalk.request.execution import Execution, doubted
@@ -60,11 +52,11 @@
     """The programs that one incarnation of an entry owns."""
 
     def __init__(
-        self, context: EntryContext, book: ProgramBook, tasks: TaskSet
+        self, context: EntryContext, table: ProgramTable, tasks: TaskSet
     ) -> None:
-        """Own the programs in `book`, without any running call."""
+        """Own the programs in `table`, without any running call."""
         self.context = context
-        self.book = book
+        self.table = table
         self.tasks = tasks
         self.live: dict[str, LiveProgram] = {}
         self.stopping = False
@@ -94,7 +86,7 @@
         Raises:
             Refusal: this entry does not own such a program.
         """
-        program = self.book.programs.get(program_id)
+        program = self.table.programs.get(program_id)
         if program is None:
             raise unknown_program(program_id)
         live = self.live.get(program_id)
@@ -117,7 +109,7 @@
                 retry_after_ms=RETRY_AFTER_MS,
             )
         if self.context.recorder.journal.fenced:
-            raise sealed()
+            raise fenced_error()
         if self.context.recorder.journal.stalled:
             raise store_unavailable()
 
@@ -181,7 +173,7 @@
             Fenced: a successor owns the program.
         """
         live = self.find(request.program)
-        live.used_ms = self.context.clock.now_ms()
+        live.last_used_ms = self.context.clock.now_ms()
         call = self.find_or_accept(live, request)
         if isinstance(call, FinishedCall):
             finished = call
@@ -266,23 +258,23 @@
     async def run(self, live: LiveProgram, call: LiveCall) -> None:
         """Run a call to its end, once all earlier calls have ended."""
         try:
-            await live.take_turn(call)
+            await live.wait_for_predecessors(call)
             call.finish(await Execution(self.context, live, call).run())
         except PollenwalkError as error:
             call.refuse(error)
         finally:
             if not call.done.done():
-                call.refuse(cancelled_refusal(call) if live.ending else sealed())
+                call.refuse(cancelled_refusal(call) if live.ending else fenced_error())
             live.calls.pop(call.request.key, None)
             live.tasks.pop(call.request.key, None)
-            live.used_ms = self.context.clock.now_ms()
-            live.notify()
+            live.last_used_ms = self.context.clock.now_ms()
+            live.notify_waiting_calls()
 
     def refuse_open_calls(self) -> None:
         """Refuse all open calls after a takeover, to be retried at the successor."""
         for live in self.live.values():
             for call in list(live.calls.values()):
-                call.refuse(sealed())
+                call.refuse(fenced_error())
             for task in list(live.tasks.values()):
                 task.cancel()
 
@@ -301,7 +293,7 @@
         if live.program.ended:
             return live.program
         live.ending = True
-        live.notify()
+        live.notify_waiting_calls()
         for child in self.running_children(program_id):
             await self.end(child.id)
         was_running = any(call.running for call in live.calls.values())
@@ -317,7 +309,7 @@
         """Return the child programs that have not ended."""
         return [
             program
-            for program in self.book.programs.values()
+            for program in self.table.programs.values()
             if program.parent == program_id and not program.ended
         ]
 
@@ -327,7 +319,7 @@
             if key not in live.program.intents:
                 task.cancel()
         while live.calls:
-            await live.wait_change(STOP_POLL_MS)
+            await live.wait_for_change(STOP_POLL_MS)
 
 
 def replayed_tokens(finished: FinishedCall, offset: int) -> Iterator[Tokens]:
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -11,7 +11,7 @@
     RefusalCode,
 )
 from pollenwalk.process.owner_interface import OwnerInterface
-from pollenwalk.program.history import plain_entries
+from pollenwalk.program.history import service_history_items
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.program.program import Program
 from pollenwalk.program.records import Finished, Intended, Withdrawn
@@ -37,7 +37,7 @@
         """
         for program in programs:
             live = self.owner.find(program.id)
-            live.doubtful = program.next_sequence
+            live.doubtful_sequence = program.next_sequence
             for intent in list(program.intents.values()):
                 call = LiveCall(rebuild_request(intent), self.context.clock)
                 live.calls[intent.key] = call
@@ -81,7 +81,7 @@
         finally:
             live.calls.pop(intent.key, None)
             live.tasks.pop(intent.key, None)
-            live.notify()
+            live.notify_waiting_calls()
 
     async def record_withdrawn(
         self,
@@ -123,7 +123,7 @@
             return
         entries = []
         if answer is not None:
-            entries = plain_entries(intent.operation, intent.argument, answer)
+            entries = service_history_items(intent.operation, intent.argument, answer)
         record = Finished(
             intent.program,
             intent.key,
@@ -132,7 +132,7 @@
             intent.upstream,
             intent.operation,
             answer,
-            RefusalBody.of(refusal) if refusal else None,
+            RefusalBody.from_refusal(refusal) if refusal else None,
             entries,
             0,
             live.program.budget.reserved,
--- a/pollenwalk/process/takeover.py
+++ b/pollenwalk/process/takeover.py
@@ -22,13 +22,8 @@
 )
 from pollenwalk.process.store import ObjectStore, create_once, make_nonce
 from pollenwalk.process.witness import PeerSource, WitnessLog, seal_at_witness
-from pollenwalk.program.program import Program, ProgramBook
-from pollenwalk.program.records import (
-    Adopted,
-    Record,
-    Snapshot,
-    decode_records,
-)
+from pollenwalk.program.program import Program, ProgramTable
+from pollenwalk.program.records import Adopted, Record, Snapshot, decode_records
 
 WITNESS_SEAL_TIMEOUT_MS = 15_000
 WITNESS_RETRY_MS = 500
@@ -181,25 +176,25 @@
         return None
 
 
-def replay(sealed: SealedJournal) -> ProgramBook:
+def replay(sealed: SealedJournal) -> ProgramTable:
     """Rebuild the programs of a sealed journal.
 
     Programs that its owner was adopting from a third journal are included
     only if that adoption was completed.
     """
-    book = ProgramBook()
+    table = ProgramTable()
     pending_snapshots: dict[str, list[Snapshot]] = {}
     for record in sealed.records():
         if isinstance(record, Snapshot) and record.origin:
             pending_snapshots.setdefault(record.origin, []).append(record)
         elif isinstance(record, Adopted):
             for snapshot in pending_snapshots.pop(record.incarnation, []):
-                book.apply(snapshot)
+                table.apply(snapshot)
         else:
-            book.apply(record)
-    for program in book.programs.values():
+            table.apply(record)
+    for program in table.programs.values():
         account_for_losses(program, sealed.tail_lost)
-    return book
+    return table
 
 
 def account_for_losses(program: Program, tail_lost: bool) -> None:
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -17,8 +17,8 @@
 from pollenwalk.policy.placement import HostView
 from pollenwalk.process.recorder import store_unavailable
 from pollenwalk.program.history import (
-    chat_entries,
-    plain_entries,
+    chat_history_items,
+    service_history_items,
 )
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.program.program import FinishedCall
@@ -197,7 +197,7 @@
 
     def note_maybe_ran(self) -> None:
         """Note that a try of this call may have run."""
-        self.live.maybe_ran[self.request.key] = None
+        self.live.maybe_ran_keys[self.request.key] = None
 
     async def reserve(self) -> int:
         """Make sure that the budget covers the call.
@@ -279,7 +279,7 @@
             self.request.upstream,
             self.request.operation,
             answer,
-            RefusalBody.of(refusal) if refusal else None,
+            RefusalBody.from_refusal(refusal) if refusal else None,
             self.entries(answer),
             self.spent(answer),
             self.next_reserve(),
@@ -304,7 +304,7 @@
         """Give what to set aside for the program's next call."""
         budget = self.program.budget
         if self.is_model:
-            return budget.ahead(self.declaration.reserve_tokens)
+            return budget.cap_reserve_ahead(self.declaration.reserve_tokens)
         return budget.reserved
 
     def entries(self, answer: Answer | None) -> list[HistoryItem]:
@@ -312,8 +312,10 @@
         if answer is None:
             return []
         if self.is_model:
-            return chat_entries(self.request.argument, answer)
-        return plain_entries(self.request.operation, self.request.argument, answer)
+            return chat_history_items(self.request.argument, answer)
+        return service_history_items(
+            self.request.operation, self.request.argument, answer
+        )
 
 
 def is_not_run(ending: Ending) -> bool:
--- a/test/program/test_ledger.py
+++ b/test/program/test_ledger.py
@@ -4,8 +4,8 @@
 
 import testtools
 
-from pollenwalk.program.ledger import Ledger, judge
-from pollenwalk.program.turn_index import TurnIndex, prompt_of
+from pollenwalk.program.ledger import Ledger, decide_reservation
+from pollenwalk.program.turn_index import TurnIndex, build_prompt
 from pollenwalk.program.turns import (
     ReserveTokens,
     SettleTokens,
@@ -15,7 +15,7 @@
 from test.helper import make_clock, virtual
 
 KEEPERS = 3
-MOST = 10
+MAX_TOKENS = 10
 
 
 class LedgerTest(testtools.TestCase):
@@ -24,25 +24,25 @@
     @virtual
     async def test_reserved_counts_at_its_most_until_settled(self) -> None:
         ledger = Ledger(make_clock())
-        ledger.reserve(ReserveTokens('p', 't1', MOST, 0))
-        known = ledger.reserve(ReserveTokens('p', 't2', MOST, 0))
-        self.assertEqual([MOST, MOST], [one.tokens for one in known])
+        ledger.reserve(ReserveTokens('p', 't1', MAX_TOKENS, 0))
+        known = ledger.reserve(ReserveTokens('p', 't2', MAX_TOKENS, 0))
+        self.assertEqual([MAX_TOKENS, MAX_TOKENS], [one.tokens for one in known])
         ledger.settle(SettleTokens('p', 't1', 4, 0))
-        known = ledger.reserve(ReserveTokens('p', 't2', MOST, 0))
-        self.assertEqual([4, MOST], [one.tokens for one in known])
+        known = ledger.reserve(ReserveTokens('p', 't2', MAX_TOKENS, 0))
+        self.assertEqual([4, MAX_TOKENS], [one.tokens for one in known])
 
     @virtual
     async def test_a_late_reservation_undoes_nothing(self) -> None:
         ledger = Ledger(make_clock())
         ledger.settle(SettleTokens('p', 't1', 4, 0))
-        known = ledger.reserve(ReserveTokens('p', 't1', MOST, 0))
+        known = ledger.reserve(ReserveTokens('p', 't1', MAX_TOKENS, 0))
         self.assertEqual([TokenEntry('t1', 4, True)], known)
 
     @virtual
     async def test_idle_accounts_go(self) -> None:
         clock = make_clock()
         ledger = Ledger(clock)
-        ledger.reserve(ReserveTokens('p', 't1', MOST, 1000))
+        ledger.reserve(ReserveTokens('p', 't1', MAX_TOKENS, 1000))
         await clock.sleep_ms(10_000)
         ledger.expire()
         self.assertIn('p', ledger.accounts)
@@ -56,12 +56,12 @@
 
     def test_settled_goes_before_reserved(self) -> None:
         known = [
-            [TokenEntry('t1', MOST, False)],
-            [TokenEntry('t1', 4, True), TokenEntry('t2', MOST, False)],
+            [TokenEntry('t1', MAX_TOKENS, False)],
+            [TokenEntry('t1', 4, True), TokenEntry('t2', MAX_TOKENS, False)],
         ]
-        self.assertEqual(4, judge(known, 't2', MOST, 14).others)
-        self.assertTrue(judge(known, 't2', MOST, 14).fits)
-        self.assertFalse(judge(known, 't2', MOST, 13).fits)
+        self.assertEqual(4, decide_reservation(known, 't2', MAX_TOKENS, 14).others)
+        self.assertTrue(decide_reservation(known, 't2', MAX_TOKENS, 14).fits)
+        self.assertFalse(decide_reservation(known, 't2', MAX_TOKENS, 13).fits)
 
     def test_two_rounds_never_exceed_the_budget(self) -> None:
         """Try every order in which three turns can reach two of three keepers.
@@ -82,7 +82,7 @@
         order: tuple[int, ...],
     ) -> None:
         """Play one order; step 2n writes turn n, step 2n + 1 reads for it."""
-        budget = 2 * MOST
+        budget = 2 * MAX_TOKENS
         held: list[set[str]] = [set() for _ in range(KEEPERS)]
         written: set[int] = set()
         running = []
@@ -96,12 +96,12 @@
                     held[keeper].add(turns[number])
                 continue
             known = [
-                [TokenEntry(turn, MOST, False) for turn in held[keeper]]
+                [TokenEntry(turn, MAX_TOKENS, False) for turn in held[keeper]]
                 for keeper in chosen[number]
             ]
-            if judge(known, turns[number], MOST, budget).fits:
+            if decide_reservation(known, turns[number], MAX_TOKENS, budget).fits:
                 running.append(turns[number])
-        self.assertTrue(len(running) * MOST <= budget, (chosen, order))
+        self.assertTrue(len(running) * MAX_TOKENS <= budget, (chosen, order))
 
 
 class TurnIndexTest(testtools.TestCase):
@@ -122,18 +122,18 @@
             self.turn('d', 'c'),
         ):
             index.put(turn)
-        self.assertEqual(['a', 'b'], [one.turn for one in index.chain('b').turns])
-        chain = index.chain('d')
+        self.assertEqual(['a', 'b'], [one.turn for one in index.use_chain('b').turns])
+        chain = index.use_chain('d')
         self.assertEqual(['a', 'c', 'd'], [one.turn for one in chain.turns])
-        self.assertEqual(b'aa!\ncc!\ndd!\nnew', prompt_of(chain.turns, b'new'))
+        self.assertEqual(b'aa!\ncc!\ndd!\nnew', build_prompt(chain.turns, b'new'))
 
     @virtual
     async def test_a_gap_is_named(self) -> None:
         index = TurnIndex(make_clock())
         index.put(self.turn('b', 'a'))
-        self.assertEqual('a', index.chain('b').missing)
-        self.assertEqual('x', index.chain('x').missing)
-        self.assertEqual([], index.chain('x').turns)
+        self.assertEqual('a', index.use_chain('b').missing)
+        self.assertEqual('x', index.use_chain('x').missing)
+        self.assertEqual([], index.use_chain('x').turns)
 
     @virtual
     async def test_use_keeps_the_whole_chain(self) -> None:
@@ -145,7 +145,7 @@
         index.put(self.turn('b', 'a'))
         await clock.sleep_ms(25_000)
         self.assertEqual(['x'], [one.turn for one in index.expire()])
-        self.assertEqual('', index.chain('b').missing)
+        self.assertEqual('', index.use_chain('b').missing)
 
     @virtual
     async def test_a_bounded_index_drops_the_oldest(self) -> None:
@@ -153,4 +153,4 @@
         for name in 'abcd':
             index.put(self.turn(name))
         self.assertEqual(['c', 'd'], list(index.records))
-        self.assertTrue(index.size <= 10)
+        self.assertTrue(index.size_bytes <= 10)
