--- a/pollenwalk/process/entry_monitor.py
+++ b/pollenwalk/process/entry_monitor.py
@@ -52,7 +52,8 @@
     def choose_witnesses(self) -> None:
         """Choose the entries that are to hold this entry's batches.
 
-        If there are fewer than configured, none is used.
+        One candidate more than configured is considered, to replace one that
+        has failed. If there are still too few, no witnesses are used.
         """
         count = self.entry.settings.witnesses
         failed = self.entry.journal.failed_witnesses()
--- a/pollenwalk/process/journal.py
+++ b/pollenwalk/process/journal.py
@@ -70,7 +70,7 @@
     """Appends records and waits until they are durable.
 
     Attributes:
-        min_interval_ms: pause after each segment.
+        min_interval_ms: pause after each segment before the next is written.
         write_limiter: limits the writes to the store; None for no limit.
         next_segment: number of the next segment.
         next_batch: number of the next batch.
@@ -128,7 +128,7 @@
         self.tasks.spawn(self.write_segments(), 'journal_segments')
 
     async def commit(self, records: list[Record]) -> None:
-        """Append records, batched with concurrent ones, and wait until durable.
+        """Append records to the open batch and wait until it is durable.
 
         Raises:
             Fenced: a successor has sealed this journal.
@@ -329,7 +329,7 @@
         """Mark the batches durable that every required witness acknowledged.
 
         Required are the witnesses of the last stored segment and those of the
-        segment being written, as a takeover may find either of the two last.
+        segment being written, as a takeover may find either segment last.
         """
         required = dict.fromkeys([*self.effective_witnesses, *self.proposed_witnesses])
         links = [self.witness_links.get(ref) for ref in required]
--- a/pollenwalk/process/owner_interface.py
+++ b/pollenwalk/process/owner_interface.py
@@ -1,7 +1,7 @@
 """The program owner as seen by its components.
 
-A protocol, so that those who create, recover and maintain programs don't
-import the class that is built from them.
+A protocol, so that the components which create, recover and maintain programs
+don't import the class that is built from them.
 """
 
 from collections.abc import Coroutine
--- a/pollenwalk/process/program_owner.py
+++ b/pollenwalk/process/program_owner.py
@@ -49,7 +49,16 @@
 
 
 class ProgramOwner:
-    """The programs that one incarnation of an entry owns."""
+    """The programs that one incarnation of an entry owns.
+
+    Attributes:
+        context: services that all calls share.
+        table: the durable state of the programs.
+        tasks: background tasks.
+        live: state of the programs that is not durable, by program id.
+        stopping: whether new programs and calls are refused.
+        adoptions_in_progress: how many takeovers are copying programs here.
+    """
 
     def __init__(
         self, context: EntryContext, table: ProgramTable, tasks: TaskSet
@@ -81,7 +90,7 @@
         self.program_creator.drop_claims()
 
     def find(self, program_id: str) -> LiveProgram:
-        """Return the live state of a program, which is created if missing.
+        """Return the live state of a program, creating that state if needed.
 
         Raises:
             Refusal: this entry does not own such a program.
@@ -99,7 +108,7 @@
         """Check that new programs and calls can be accepted.
 
         Raises:
-            Refusal: the entry is stopping, or the journal can't be written.
+            Refusal: the entry is stopping, or the store does not answer.
             Fenced: a successor has sealed the journal.
         """
         if self.stopping:
@@ -285,8 +294,8 @@
         are not idempotent and are waited for.
 
         Raises:
-            Refusal: there is no such program, or the journal can't be
-                written within `END_COMMIT_TIMEOUT_MS`.
+            Refusal: there is no such program, or its end is not durable
+                within `END_COMMIT_TIMEOUT_MS`.
             Fenced: a successor owns the program.
         """
         live = self.find(program_id)
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -115,7 +115,10 @@
         intent: Intended,
         ending: Answer | Refusal,
     ) -> None:
-        """Record how an intended call ended, and answer its callers."""
+        """Record how an intended call ended, and answer its callers.
+
+        A refusal with the outcome 'not run' is recorded as withdrawn instead.
+        """
         answer = ending if isinstance(ending, Answer) else None
         refusal = ending if isinstance(ending, Refusal) else None
         if refusal is not None and refusal.outcome == Outcome.NOT_RUN:
