--- a/pollenwalk/process/compaction.py
+++ b/pollenwalk/process/compaction.py
@@ -40,7 +40,7 @@
 
     def start(self) -> None:
         """Track the recorded programs and start to compact in the background."""
-        self.owner.context.recorder.touched = self.track_first_segments
+        self.owner.context.recorder.on_committed = self.track_first_segments
         self.owner.tasks.spawn(self.run(), 'compaction')
 
     def track_first_segments(self, records: list[Record], segment: int) -> None:
--- a/pollenwalk/process/directory.py
+++ b/pollenwalk/process/directory.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from pollenwalk.process.clock import Clock
-from pollenwalk.process.following import follow
+from pollenwalk.process.prefix_watcher import watch_prefix
 from pollenwalk.process.store import ObjectStore, StoredObject
 
 PREFIX = 'entries/'
@@ -92,7 +92,7 @@
 
     async def follow(self) -> None:
         """Apply changes of the records until cancelled."""
-        await follow(self.store, self.clock, PREFIX, self.apply)
+        await watch_prefix(self.store, self.clock, PREFIX, self.apply)
 
     def apply(self, stored: StoredObject) -> None:
         """Apply a changed or deleted record unless a newer one is known."""
--- a/pollenwalk/process/entry_monitor.py
+++ b/pollenwalk/process/entry_monitor.py
@@ -37,7 +37,7 @@
                     self.start_probe(record)
                 for record in self.predecessors():
                     self.start_probe(record)
-            self.entry.fleet.forget_silent(FORGET_SILENT_MS)
+            self.entry.fleet.drop_silent(FORGET_SILENT_MS)
             await self.entry.clock.sleep_ms(CHECK_INTERVAL_MS)
 
     def predecessors(self) -> list[EntryRecord]:
@@ -89,9 +89,9 @@
         if record.address == self.entry.settings.address:
             return False
         for _ in range(PROBE_ATTEMPTS):
-            boot = await self.probe(record.address)
-            if boot:
-                return boot == record.incarnation
+            boot_id = await self.probe(record.address)
+            if boot_id:
+                return boot_id == record.incarnation
         return False
 
     async def probe(self, address: str) -> str:
@@ -106,7 +106,7 @@
         peer = self.entry.peers.at(address)
         try:
             await peer.ask(Beat(self.entry.incarnation, 0), PROBE_TIMEOUT_MS)
-            return (await peer.connected()).boot
+            return (await peer.connected()).boot_id
         except PollenwalkError:
             return ''
 
--- a/pollenwalk/process/program_owner.py
+++ b/pollenwalk/process/program_owner.py
@@ -77,7 +77,7 @@
     def start(self) -> None:
         """Start the background tasks."""
         self.tasks.spawn(
-            self.context.recorder.send_settled(self.context.peers), 'settle'
+            self.context.recorder.send_settlements(self.context.peers), 'settle'
         )
         self.maintenance.start()
 
@@ -169,7 +169,7 @@
             Fenced: a successor owns the programs; retry there.
         """
         try:
-            await self.context.recorder.confirm(CONFIRM_TIMEOUT_MS)
+            await self.context.recorder.confirm_ownership(CONFIRM_TIMEOUT_MS)
         except TimeoutError:
             return False
         return True
--- a/pollenwalk/process/witness.py
+++ b/pollenwalk/process/witness.py
@@ -113,7 +113,7 @@
         """
         try:
             connection = await self.peer.connected()
-            if connection.boot != self.ref.incarnation:
+            if connection.boot_id != self.ref.incarnation:
                 self.failed = True
                 return False
             await self.peer.ask(message, WITNESS_TIMEOUT_MS)
@@ -142,7 +142,7 @@
     """
     try:
         connection = await peer.connected()
-        if connection.boot != ref.incarnation:
+        if connection.boot_id != ref.incarnation:
             return None
         return await peer.ask(message, WITNESS_TIMEOUT_MS)
     except (ConnectionLost, Refusal):
--- a/pollenwalk/request/streaming.py
+++ b/pollenwalk/request/streaming.py
@@ -131,7 +131,7 @@
             if self.sender.may_run():
                 return False
             raise
-        exchange.state.worked()
+        exchange.state.record_success()
         return True
 
     async def pass_answer(self, exchange: Exchange) -> None:
@@ -168,7 +168,7 @@
         logger.info(
             'stream_begins',
             request=self.call.id,
-            host=exchange.state.listed.id,
+            host=exchange.state.registration.id,
             status=exchange.head.status,
             after_ms=round(took_ms),
         )
--- a/test/request/test_forwarding.py
+++ b/test/request/test_forwarding.py
@@ -11,10 +11,10 @@
 from pollenwalk.connection.link_pool import LinkPool
 from pollenwalk.errors import BrokenAnswer, Outcome, Refusal, RefusalCode
 from pollenwalk.policy.host_choice import EarliestFinish
+from pollenwalk.process.call_placer import CallPlacer
 from pollenwalk.process.clock import LoopClock
 from pollenwalk.process.gateway_metrics import GatewayMetrics
-from pollenwalk.process.host_book import HostBook
-from pollenwalk.process.placing import Placing
+from pollenwalk.process.host_table import HostTable
 from pollenwalk.request.call_sender import ForwardingContext
 from pollenwalk.request.call_state import Call
 from pollenwalk.request.http_messages import Headers, Request, RequestMetadata
@@ -157,18 +157,18 @@
     async def start(self) -> ForwardingContext:
         """Start all; one that comes first seems to be the least loaded."""
         clock = LoopClock()
-        book = HostBook(clock)
+        host_table = HostTable(clock)
         for number, host in enumerate(self.hosts):
             listed: UpstreamHost = await host.start()
-            book.register(listed, 1)
-            state = book.states[listed.id]
-            state.note_load((number * 4, 0, 4), clock.now_ms())
+            host_table.register(listed, 1)
+            state = host_table.states[listed.id]
+            state.record_load((number * 4, 0, 4), clock.now_ms())
         choice = EarliestFinish(random.Random(1))
-        placing = Placing(clock, book, choice, 'here', {'here': 'east'})
+        call_placer = CallPlacer(clock, host_table, choice, 'here', {'here': 'east'})
         return ForwardingContext(
             clock,
             LinkPool(clock),
-            placing,
+            call_placer,
             GatewayMetrics(),
             random.Random(1),
         )
@@ -230,9 +230,11 @@
         """Run a turn; gives the hosts, what was learnt, and the error."""
         hosts = Hosts(streams)
         context = await hosts.start()
-        state = next(context.placing.book.usable('up'))
+        state = next(context.call_placer.host_table.available_hosts('up'))
         now_ms = context.clock.now_ms()
-        state.note_load((state.listed.slots, waiting, state.listed.slots), now_ms)
+        state.record_load(
+            (state.registration.slots, waiting, state.registration.slots), now_ms
+        )
         call = make_call(STREAM)
         error = None
         try:
@@ -240,7 +242,7 @@
         except Refusal as refusal:
             error = refusal
         hosts.hosts[0].stop()
-        return hosts, context.placing.run_times, error
+        return hosts, context.call_placer.run_times, error
 
     @on_loop
     async def test_a_new_program_is_turned_back(self) -> None:
@@ -413,6 +415,6 @@
         running.cancel()
         async with asyncio.timeout(0.5):
             await gone.wait()
-        state = next(iter(context.placing.book.states.values()))
+        state = next(iter(context.call_placer.host_table.states.values()))
         self.assertEqual(0, state.in_flight)
         hosts.hosts[0].stop()
