--- a/pollenwalk/process/liveness.py
+++ b/pollenwalk/process/liveness.py
@@ -1,7 +1,7 @@
-"""Which entries seem dead, judged by their heartbeats.
+"""Failure detection by heartbeats between entries.
 
-A wrong judgement costs a needless takeover and nothing else: the seal in the
-store decides who owns the programs.
+A false suspicion costs an unnecessary takeover and nothing else: the seal in
+the store decides who owns the programs.
 """
 
 from pollenwalk.connection.channel import Network
@@ -9,69 +9,89 @@
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.directory import Directory, EntryRecord
 
-LOOK_MS = 500
-BEAT_MS = 1000
-LAPSE_MS = 3000
+CHECK_INTERVAL_MS = 500
+HEARTBEAT_INTERVAL_MS = 1000
+SILENCE_TIMEOUT_MS = 3000
 RANK_DELAY_MS = 1500
-FAR_LAPSE_MS = 60_000
-OWN_PAUSE_MS = 1500
+OTHER_REGION_TIMEOUT_MS = 60_000
+MAX_CHECK_GAP_MS = 1500
 OBSERVERS = 3
 
 
 class Liveness:
-    """Sends this entry's heartbeats and judges those of others."""
+    """Sends this entry's heartbeats and detects silent entries.
+
+    Attributes:
+        sequence: number of the last heartbeat sent.
+        last_sent_ms: when it was sent, on the process's clock.
+        last_check_ms: when `reset_after_pause` was last called.
+        last_heard_ms: when each monitored entry was last known to be alive.
+    """
 
     def __init__(self, directory: Directory, network: Network, clock: Clock) -> None:
-        """Start having heard nobody."""
+        """Start without having heard from any entry."""
         self.directory = directory
         self.network = network
         self.clock = clock
-        self.number = 0
-        self.beaten_ms = float('-inf')
-        self.awake_ms = 0.0
-        self.heard_ms: dict[str, float] = {}
+        self.sequence = 0
+        self.last_sent_ms = float('-inf')
+        self.last_check_ms = 0.0
+        self.last_heard_ms: dict[str, float] = {}
+
+    def record_alive(self, incarnation: str) -> None:
+        """Note that an entry is alive now."""
+        self.last_heard_ms[incarnation] = self.clock.now_ms()
 
-    def heard(self, incarnation: str) -> None:
-        """Note a sign of life."""
-        self.heard_ms[incarnation] = self.clock.now_ms()
+    def reset_after_pause(self) -> None:
+        """Restart all timeouts if this process itself was paused.
 
-    def notice_own_pause(self) -> None:
-        """After a pause of our own, give everybody time to be heard again."""
+        Heartbeats that came during the pause may not have been read yet.
+        """
         now_ms = self.clock.now_ms()
-        if now_ms - self.awake_ms > OWN_PAUSE_MS:
-            self.heard_ms.clear()
-        self.awake_ms = now_ms
+        if now_ms - self.last_check_ms > MAX_CHECK_GAP_MS:
+            self.last_heard_ms.clear()
+        self.last_check_ms = now_ms
 
-    def beat(self, own: EntryRecord) -> None:
-        """Send a heartbeat, when one is due, to those that watch over us."""
+    def send_heartbeat(self, own_record: EntryRecord) -> None:
+        """Send a heartbeat, if one is due, to the entries that monitor this one."""
         now_ms = self.clock.now_ms()
-        if now_ms - self.beaten_ms < BEAT_MS:
+        if now_ms - self.last_sent_ms < HEARTBEAT_INTERVAL_MS:
             return
-        self.beaten_ms = now_ms
-        self.number += 1
-        payload = encode_datagram(Beat(own.incarnation, self.number))
-        for observer in self.directory.observers(own.incarnation, OBSERVERS):
-            self.network.send_datagram(own.address, observer.address, payload)
+        self.last_sent_ms = now_ms
+        self.sequence += 1
+        payload = encode_datagram(Beat(own_record.incarnation, self.sequence))
+        for observer in self.directory.observers(own_record.incarnation, OBSERVERS):
+            self.network.send_datagram(own_record.address, observer.address, payload)
 
-    def suspects(self, own: EntryRecord) -> list[EntryRecord]:
-        """Give the entries that this one should take over."""
+    def silent_entries(self, own_record: EntryRecord) -> list[EntryRecord]:
+        """Return the entries that this one should probe and take over."""
         return [
             record
-            for record in self.directory.live()
-            if record.incarnation != own.incarnation and self.is_silent(record, own)
+            for record in self.directory.live_entries()
+            if record.incarnation != own_record.incarnation
+            and self.is_silent(record, own_record)
         ]
 
-    def is_silent(self, record: EntryRecord, own: EntryRecord) -> bool:
-        """Tell whether an entry under our watch has been silent too long."""
+    def is_silent(self, record: EntryRecord, own_record: EntryRecord) -> bool:
+        """Return whether a monitored entry has been silent for too long.
+
+        The timeout is longer for entries of other regions, and grows by
+        `RANK_DELAY_MS` with this entry's rank among the observers, so that
+        they don't all react at once.
+        """
         observers = [
             observer.incarnation
             for observer in self.directory.observers(record.incarnation, OBSERVERS)
         ]
-        if own.incarnation not in observers:
-            self.heard_ms.pop(record.incarnation, None)
+        if own_record.incarnation not in observers:
+            self.last_heard_ms.pop(record.incarnation, None)
             return False
         now_ms = self.clock.now_ms()
-        silent_ms = now_ms - self.heard_ms.setdefault(record.incarnation, now_ms)
-        lapse_ms = LAPSE_MS if record.region == own.region else FAR_LAPSE_MS
-        rank = observers.index(own.incarnation)
-        return silent_ms > lapse_ms + rank * RANK_DELAY_MS
+        silent_ms = now_ms - self.last_heard_ms.setdefault(record.incarnation, now_ms)
+        timeout_ms = (
+            SILENCE_TIMEOUT_MS
+            if record.region == own_record.region
+            else OTHER_REGION_TIMEOUT_MS
+        )
+        rank = observers.index(own_record.incarnation)
+        return silent_ms > timeout_ms + rank * RANK_DELAY_MS
--- a/pollenwalk/process/upkeep.py
+++ b/pollenwalk/process/maintenance.py
@@ -1,4 +1,4 @@
-"""What a home does regularly: leases, idle programs, and retention."""
+"""Periodic work on an owner's programs: leases, idle programs, retention."""
 
 from loguru import logger
 
@@ -10,46 +10,51 @@
 from pollenwalk.program.records import Dropped
 from pollenwalk.version.resources import ProgramSpec
 
-RENEW_MS = 5000
+RENEW_INTERVAL_MS = 5000
 RELEASE_TIMEOUT_MS = 2000
 RELEASE_ATTEMPTS = 5
-SWEEP_MS = 2000
-RETAIN_MS = 600_000
-DROP_WAIT_MS = 2000
+SWEEP_INTERVAL_MS = 2000
+RETENTION_MS = 600_000
+DROP_COMMIT_TIMEOUT_MS = 2000
 
 
-class Upkeep:
-    """Keeps the programs of one home in order."""
+class ProgramMaintenance:
+    """Renews leases, ends idle programs and drops old ones for one owner.
+
+    Attributes:
+        ended_ms: when each ended program was first seen by the sweep.
+    """
 
     def __init__(self, owner: OwnerInterface) -> None:
-        """Look after `home`."""
+        """Maintain the programs of `owner`."""
         self.owner = owner
         self.context = owner.context
         self.ended_ms: dict[str, float] = {}
 
     def start(self) -> None:
-        """Start the regular work."""
+        """Start the periodic tasks."""
         self.owner.tasks.spawn(self.renew(), 'renew')
         self.owner.tasks.spawn(self.sweep(), 'sweep')
 
     async def release(self, program: Program) -> None:
-        """Ask every sidecar that holds memory to return it.
+        """Ask every sidecar that holds engine memory for a program to free it.
 
-        A sidecar that can't be reached returns it when the lease lapses.
+        A sidecar that does not answer after `RELEASE_ATTEMPTS` frees it when
+        the lease expires.
         """
         pending = list(program.engine_sidecars)
         for _ in range(RELEASE_ATTEMPTS):
             pending = [
                 address
                 for address in pending
-                if not await self.released(address, program.id)
+                if not await self.release_at(address, program.id)
             ]
             if not pending:
                 return
             await self.context.clock.sleep_ms(RELEASE_TIMEOUT_MS)
 
-    async def released(self, address: str, program_id: str) -> bool:
-        """Ask one sidecar; tell whether it has returned the memory."""
+    async def release_at(self, address: str, program_id: str) -> bool:
+        """Ask one sidecar to free memory, and return whether it confirmed."""
         try:
             await self.context.peers(address).ask(
                 Release([program_id]),
@@ -60,39 +65,42 @@
         return True
 
     async def renew(self) -> None:
-        """Renew the leases on engine memory, one message a sidecar."""
+        """Renew the leases on engine memory, with one message to each sidecar."""
         while True:
-            for address, programs in self.holdings().items():
+            for address, programs in self.programs_by_sidecar().items():
                 self.owner.tasks.spawn(self.renew_at(address, programs), 'renew_at')
-            await self.context.clock.sleep_ms(RENEW_MS)
+            await self.context.clock.sleep_ms(RENEW_INTERVAL_MS)
 
-    def holdings(self) -> dict[str, list[str]]:
-        """Give the running programs by the sidecars that hold for them."""
-        holdings: dict[str, list[str]] = {}
+    def programs_by_sidecar(self) -> dict[str, list[str]]:
+        """Return, by sidecar address, the running programs with memory there."""
+        programs_by_sidecar: dict[str, list[str]] = {}
         for program in self.owner.table.programs.values():
             if program.ended:
                 continue
             for address in program.engine_sidecars:
-                holdings.setdefault(address, []).append(program.id)
-        return holdings
+                programs_by_sidecar.setdefault(address, []).append(program.id)
+        return programs_by_sidecar
 
     async def renew_at(self, address: str, programs: list[str]) -> None:
-        """Renew at one sidecar; a lost message only shortens the lease."""
+        """Renew leases at one sidecar; the next round makes up for a lost one."""
         try:
-            await self.context.peers(address).ask(Renew(programs), RENEW_MS)
+            await self.context.peers(address).ask(Renew(programs), RENEW_INTERVAL_MS)
         except (ConnectionLost, Refusal):
             logger.debug('renew_lost', address=address)
 
     async def sweep(self) -> None:
-        """End idle programs and drop ended ones after their retention."""
+        """End idle and overdue programs, and drop ended ones after retention."""
         while True:
-            await self.context.clock.sleep_ms(SWEEP_MS)
+            await self.context.clock.sleep_ms(SWEEP_INTERVAL_MS)
             self.owner.drop_claims()
             for program in list(self.owner.table.programs.values()):
-                await self.sweep_one(program)
+                await self.sweep_program(program)
+
+    async def sweep_program(self, program: Program) -> None:
+        """End or drop one program if it is due.
 
-    async def sweep_one(self, program: Program) -> None:
-        """End or drop one program if it is time."""
+        Errors are logged, and the next sweep tries again.
+        """
         now_ms = self.context.clock.now_ms()
         live = self.owner.find(program.id)
         spec = self.context.config.program(program.declaration) or ProgramSpec([])
@@ -103,18 +111,18 @@
                     await self.owner.end(program.id)
                 return
             ended_ms = self.ended_ms.setdefault(program.id, now_ms)
-            if now_ms - ended_ms > RETAIN_MS:
-                await self.drop(live)
+            if now_ms - ended_ms > RETENTION_MS:
+                await self.drop_program(live)
         except PollenwalkError as error:
             logger.debug('sweep_put_off', program=program.id, reason=str(error))
 
-    async def drop(self, live: LiveProgram) -> None:
-        """Forget an ended program."""
+    async def drop_program(self, live: LiveProgram) -> None:
+        """Record that an ended program is dropped, and remove it."""
         program_id = live.program.id
         await self.context.recorder.record(
             live,
             lambda: [Dropped(program_id)],
-            DROP_WAIT_MS,
+            DROP_COMMIT_TIMEOUT_MS,
         )
         self.owner.live.pop(program_id, None)
         self.ended_ms.pop(program_id, None)
--- a/pollenwalk/process/beginnings.py
+++ b/pollenwalk/process/program_creator.py
@@ -1,4 +1,4 @@
-"""Beginning programs: keys, ids, and the limits of callers and parents."""
+"""Creates programs: idempotency keys, ids, and limits of callers and parents."""
 
 import asyncio
 from typing import NamedTuple
@@ -6,8 +6,8 @@
 from pollenwalk.connection.wire import BeginProgram
 from pollenwalk.errors import Refusal, RefusalCode
 from pollenwalk.policy.program_admission import has_capacity
-from pollenwalk.process.ids import new_program_id
 from pollenwalk.process.owner_interface import OwnerInterface
+from pollenwalk.process.program_ids import new_program_id
 from pollenwalk.process.recorder import store_unavailable
 from pollenwalk.program.budget import Budget
 from pollenwalk.program.live import LiveProgram
@@ -15,40 +15,47 @@
 from pollenwalk.program.records import Begun, Claimed, Record
 from pollenwalk.version.resources import ProgramSpec
 
-BEGIN_WAIT_MS = 2000
+COMMIT_TIMEOUT_MS = 2000
 RETRY_AFTER_MS = 1000
 ADMISSION_RETRY_MS = (500, 2000)
-KEY_RETAIN_MS = 600_000
+CLAIM_RETENTION_MS = 600_000
 
 
-class Beginning(NamedTuple):
-    """A program whose first record is on its way."""
+class PendingProgram(NamedTuple):
+    """A program whose first record is not yet durable.
+
+    Attributes:
+        program: its id.
+        task: commits the record.
+    """
 
     program: str
     task: asyncio.Task[None]
 
 
-class Beginnings:
-    """Programs that begin at one home, and keys that it settles."""
+class ProgramCreator:
+    """Creates the programs of one owner and records which keys are in use."""
 
     def __init__(self, owner: OwnerInterface) -> None:
-        """Begin programs at `home`."""
+        """Create programs for `owner`."""
         self.owner = owner
         self.context = owner.context
-        self.beginning: dict[tuple[str, str], Beginning] = {}
-        self.claiming: dict[tuple[str, str], asyncio.Task[None]] = {}
+        self.pending: dict[tuple[str, str], PendingProgram] = {}
+        self.pending_claims: dict[tuple[str, str], asyncio.Task[None]] = {}
         self.claimed_ms: dict[tuple[str, str], float] = {}
 
-    async def begin(self, request: BeginProgram) -> Program:
-        """Begin a program; a repeat with the same key gives the same one.
+    async def create(self, request: BeginProgram) -> Program:
+        """Create a program, or return the one that has the request's key.
 
         Raises:
-            Refusal: it is not declared, or a limit or budget forbids it.
+            Refusal: the program is not declared, a limit or budget is
+                exceeded, or its record did not become durable in time.
+            Fenced: a successor has sealed the journal; retry there.
         """
-        known = self.known(request)
-        if known is not None:
-            return self.repeated(known, request)
-        self.owner.check_open()
+        existing = self.find_existing(request)
+        if existing is not None:
+            return self.check_repeat(existing, request)
+        self.owner.check_accepts_work()
         spec = self.context.config.program(request.declaration)
         if spec is None:
             raise Refusal(
@@ -56,30 +63,31 @@
                 f'no program is declared as {request.declaration!r}',
             )
         identity = (request.caller, request.key or request.program)
-        beginning = self.beginning.get(identity)
-        if beginning is None:
-            beginning = self.begin_new(request, spec)
-        await self.durable(beginning.task)
-        return self.begun(beginning.program)
+        pending_program = self.pending.get(identity)
+        if pending_program is None:
+            pending_program = self.create_new(request, spec)
+        await self.wait_durable(pending_program.task)
+        return self.created_program(pending_program.program)
 
-    async def durable(self, task: asyncio.Task[None]) -> None:
-        """Wait a bounded time for a commit that goes on in any case.
+    async def wait_durable(self, task: asyncio.Task[None]) -> None:
+        """Wait for a commit, which continues in the background after a timeout.
 
         Raises:
-            Refusal: it takes too long.
-            Fenced: this home has a successor; ask there.
+            Refusal: it took longer than `COMMIT_TIMEOUT_MS`.
+            Fenced: a successor has sealed the journal; retry there.
         """
         try:
-            async with self.context.clock.timeout_ms(BEGIN_WAIT_MS):
+            async with self.context.clock.timeout_ms(COMMIT_TIMEOUT_MS):
                 await asyncio.shield(task)
         except TimeoutError as error:
             raise store_unavailable() from error
 
-    def begun(self, program_id: str) -> Program:
-        """Give a program whose record is durable.
+    def created_program(self, program_id: str) -> Program:
+        """Return a program whose commit has ended.
 
         Raises:
-            Refusal: its parent had given its tokens away meanwhile.
+            Refusal: it was not created, as its parent had spent or given away
+                the tokens before the commit.
         """
         if program_id not in self.owner.table.programs:
             raise Refusal(
@@ -88,8 +96,8 @@
             )
         return self.owner.find(program_id).program
 
-    def known(self, request: BeginProgram) -> Program | None:
-        """Give the program that was begun with this key or id."""
+    def find_existing(self, request: BeginProgram) -> Program | None:
+        """Return the program that was created with this key or id."""
         table = self.owner.table
         program_id = request.program
         if request.key:
@@ -97,55 +105,63 @@
         return table.programs.get(program_id)
 
     async def claim(self, caller: str, key: str, program: str) -> str:
-        """Settle which program a key has begun; the first claim wins.
+        """Record which program an idempotency key creates; the first claim wins.
 
         Args:
-            caller: whose key it is.
-            key: the caller's key.
-            program: the claimed program; empty only asks.
+            caller: the caller whose key it is.
+            key: the idempotency key.
+            program: id of the claimed program; empty to look up only.
 
         Returns:
-            The program of the key; empty when it has none.
+            The id of the key's program, or an empty string if it has none.
 
         Raises:
             Refusal: the claim can't be made durable now.
-            Fenced: this home has a successor; ask there.
+            Fenced: a successor has sealed the journal; retry there.
         """
         identity = (caller, key)
-        known = self.owner.table.claims.get(identity)
-        if known or not program:
-            return known or ''
-        self.owner.check_open()
-        task = self.claiming.get(identity)
+        existing = self.owner.table.claims.get(identity)
+        if existing or not program:
+            return existing or ''
+        self.owner.check_accepts_work()
+        task = self.pending_claims.get(identity)
         if task is None:
             record = Claimed(caller, key, program)
             task = self.owner.tasks.spawn(
                 self.context.recorder.commit([record]), 'claim'
             )
-            self.claiming[identity] = task
-            task.add_done_callback(lambda _: self.claiming.pop(identity, None))
-        await self.durable(task)
+            self.pending_claims[identity] = task
+            task.add_done_callback(lambda _: self.pending_claims.pop(identity, None))
+        await self.wait_durable(task)
         self.claimed_ms[identity] = self.context.clock.now_ms()
         return self.owner.table.claims[identity]
 
-    def repeated(self, program: Program, request: BeginProgram) -> Program:
-        """Check that a repeat asks for the same program."""
+    def check_repeat(self, program: Program, request: BeginProgram) -> Program:
+        """Check that a repeated key comes with the same declaration.
+
+        Raises:
+            Refusal: the key was used for another declaration.
+        """
         if program.declaration != request.declaration:
             raise Refusal(
                 RefusalCode.KEY_REUSED,
-                'the key has begun another program',
+                'the key was used to create another program',
             )
         return program
 
     def new_id(self, incarnation: str = '') -> str:
-        """Make a program id that carries its home, this one unless named."""
+        """Return a new program id, which contains its first owner's incarnation.
+
+        Args:
+            incarnation: the first owner; empty for this entry.
+        """
         return new_program_id(
             incarnation or self.context.incarnation,
             self.context.rng,
         )
 
-    def begin_new(self, request: BeginProgram, spec: ProgramSpec) -> Beginning:
-        """Check the limits and start recording a new program."""
+    def create_new(self, request: BeginProgram, spec: ProgramSpec) -> PendingProgram:
+        """Check the limits and start to commit the record of a new program."""
         program_id = request.program or self.new_id()
         limit = min(request.budget or spec.budget_tokens, spec.budget_tokens)
         self.check_limits(request, limit)
@@ -159,57 +175,65 @@
             Budget(limit).cap_reserve_ahead(spec.reserve_tokens),
             min(request.deadline_ms or spec.deadline_ms, spec.deadline_ms),
         )
-        beginning = Beginning(program_id, self.record(record))
+        pending_program = PendingProgram(program_id, self.record_creation(record))
         identity = (request.caller, request.key or program_id)
-        self.beginning[identity] = beginning
-        beginning.task.add_done_callback(lambda _: self.beginning.pop(identity, None))
-        return beginning
+        self.pending[identity] = pending_program
+        pending_program.task.add_done_callback(
+            lambda _: self.pending.pop(identity, None)
+        )
+        return pending_program
 
-    def record(self, record: Begun) -> asyncio.Task[None]:
-        """Start to record a beginning, a child's under its parent's lock."""
+    def record_creation(self, record: Begun) -> asyncio.Task[None]:
+        """Start to commit a program's first record, a child's under its parent's lock."""
         recorder = self.context.recorder
         if not record.parent:
             return self.owner.tasks.spawn(recorder.commit([record]), 'begin')
         parent = self.owner.find(record.parent)
-        return recorder.record_later(parent, lambda: self.carved(parent, record))
+        return recorder.record_later(
+            parent, lambda: self.records_within_budget(parent, record)
+        )
 
-    def carved(self, parent: LiveProgram, record: Begun) -> list[Record]:
-        """Check the parent's budget again under its lock."""
+    def records_within_budget(self, parent: LiveProgram, record: Begun) -> list[Record]:
+        """Return the record to commit, or nothing if the parent lacks the tokens.
+
+        Called under the parent's lock, as its budget may have changed since
+        the limits were checked.
+        """
         if record.limit > parent.program.budget.free:
             return []
         return [record]
 
     def check_limits(self, request: BeginProgram, limit: int) -> None:
-        """Check the parent's budget or the caller's.
+        """Check a child against its parent's budget, others against the caller's.
 
         Raises:
-            Refusal: the new program would go beyond it.
+            Refusal: a budget would be exceeded, or the upstreams are overloaded.
         """
         if request.parent:
             self.check_parent(request.parent, limit)
             return
-        self.check_room(request)
+        self.check_load(request)
         budget = self.context.config.budget(request.caller)
         running = [
             program
             for program in self.owner.table.programs.values()
             if program.caller == request.caller and not program.ended
         ]
-        promised = sum(program.budget.limit for program in running)
+        granted = sum(program.budget.limit for program in running)
         over = len(running) >= budget.concurrent_programs
-        if over or promised + limit > budget.tokens:
+        if over or granted + limit > budget.tokens:
             raise Refusal(
                 RefusalCode.BUDGET_EXHAUSTED,
-                f'the limits of {request.caller} are reached',
+                f'the program or token limit of {request.caller} is reached',
                 retry_after_ms=RETRY_AFTER_MS,
             )
 
-    def check_room(self, request: BeginProgram) -> None:
+    def check_load(self, request: BeginProgram) -> None:
         """Refuse a new program while its model upstreams are overloaded.
 
         Raises:
-            Refusal: with a time to come back, drawn so that not all come
-                back at once.
+            Refusal: its retry delay is random, so that callers don't all retry
+                at once.
         """
         spec = self.context.config.program(request.declaration)
         level = self.context.config.priority_level(spec.priority)
@@ -224,10 +248,10 @@
                 )
 
     def check_parent(self, parent_id: str, limit: int) -> None:
-        """Check that a parent can give so many tokens.
+        """Check that a parent is running and has `limit` free tokens.
 
         Raises:
-            Refusal: it has ended, or has too few.
+            Refusal: it has ended, or has too few tokens.
         """
         parent = self.owner.find(parent_id)
         if parent.program.ended or parent.ending:
@@ -239,10 +263,10 @@
             )
 
     def drop_claims(self) -> None:
-        """Forget keys whose retention has passed."""
+        """Remove key claims that are older than `CLAIM_RETENTION_MS`."""
         now_ms = self.context.clock.now_ms()
         for identity in list(self.owner.table.claims):
             claimed_ms = self.claimed_ms.setdefault(identity, now_ms)
-            if now_ms - claimed_ms > KEY_RETAIN_MS:
+            if now_ms - claimed_ms > CLAIM_RETENTION_MS:
                 self.owner.table.claims.pop(identity)
                 self.claimed_ms.pop(identity)
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -65,7 +65,7 @@
             self.call.remaining_ms(),
         )
         while True:
-            if self.context.recorder.journal.closing:
+            if self.context.recorder.journal.handing_over:
                 raise Fenced('this home is about to be handed over')
             if self.context.clock.now_ms() >= until_ms:
                 raise Refusal(
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -57,7 +57,7 @@
         Raises:
             Refusal: the call did not run and takes no place in the order.
         """
-        if not self.context.recorder.journal.fresh:
+        if not self.context.recorder.journal.recently_confirmed:
             await self.confirm()
         if self.request.operation not in self.spec.idempotent:
             return await self.run_once()
--- a/test/process/test_limits.py
+++ b/test/process/test_limits.py
@@ -1,4 +1,4 @@
-"""Pacing, retries and subsets: what keeps an outage or a fleet bounded."""
+"""Tests of the write limiter, the retry budget and the choice of report targets."""
 
 import random
 
@@ -11,9 +11,13 @@
     encode_record,
     record_key,
 )
-from pollenwalk.process.pacing import Pace
+from pollenwalk.process.report_targets import (
+    MAX_TARGETS,
+    ReportTargets,
+    report_interval_ms,
+)
 from pollenwalk.process.store import ABSENT
-from pollenwalk.process.subsets import TARGETS, Subsets, interval
+from pollenwalk.process.write_limiter import WriteLimiter
 from pollenwalk.request.retry import MAX_SAVED_RETRIES, RetryBudget, pause_ms
 from standin.store import MemoryStore
 from test.helper import make_clock, virtual
@@ -21,41 +25,41 @@
 REGIONS = {'rimouski': 'est', 'gatineau': 'ouest'}
 
 
-class PaceTest(testtools.TestCase):
-    """Writes within a share of the fleet's budget."""
+class WriteLimiterTest(testtools.TestCase):
+    """Writes to the store within an entry's share of the common budget."""
 
     @virtual
-    async def test_keeps_to_its_share(self) -> None:
+    async def test_rate_is_an_equal_share(self) -> None:
         clock = make_clock()
-        pace = Pace(clock, 200, lambda: 4)
+        write_limiter = WriteLimiter(clock, 200, lambda: 4)
         for _ in range(150):
-            await pace.turn()
+            await write_limiter.acquire()
         begun_ms = clock.now_ms()
         for _ in range(100):
-            await pace.turn()
+            await write_limiter.acquire()
         self.assertAlmostEqual(2000, clock.now_ms() - begun_ms, delta=30)
 
     @virtual
-    async def test_saves_for_a_burst(self) -> None:
+    async def test_unused_permits_allow_a_burst(self) -> None:
         clock = make_clock()
-        pace = Pace(clock, 200, lambda: 4)
+        write_limiter = WriteLimiter(clock, 200, lambda: 4)
         await clock.sleep_ms(60_000)
         begun_ms = clock.now_ms()
         for _ in range(90):
-            await pace.turn()
+            await write_limiter.acquire()
         self.assertEqual(begun_ms, clock.now_ms())
 
     @virtual
-    async def test_gives_way_and_comes_back(self) -> None:
-        pace = Pace(make_clock(), 200, lambda: 4)
+    async def test_share_falls_on_failures_and_recovers(self) -> None:
+        write_limiter = WriteLimiter(make_clock(), 200, lambda: 4)
         for _ in range(20):
-            pace.refused()
-        self.assertAlmostEqual(2.5, pace.rate)
+            write_limiter.record_failure()
+        self.assertAlmostEqual(2.5, write_limiter.rate)
         for _ in range(60):
-            pace.answered(5)
-        self.assertAlmostEqual(50, pace.rate)
-        pace.answered(5000)
-        self.assertAlmostEqual(25, pace.rate)
+            write_limiter.record_answer(5)
+        self.assertAlmostEqual(50, write_limiter.rate)
+        write_limiter.record_answer(5000)
+        self.assertAlmostEqual(25, write_limiter.rate)
 
 
 class RetryTest(testtools.TestCase):
@@ -81,11 +85,11 @@
             self.assertGreater(max(pauses), ceiling * 0.9)
 
 
-class SubsetsTest(testtools.TestCase):
-    """Which entries a sidecar reports to."""
+class ReportTargetsTest(testtools.TestCase):
+    """The choice of the entries that a sidecar reports to, and how often."""
 
     async def make(self, count: int) -> Directory:
-        """Make a directory of entries in one region, and one in another."""
+        """Return a directory of `count` entries in one region."""
         directory = Directory(MemoryStore(make_clock()), make_clock())
         for number in range(count):
             record = EntryRecord(f'e{number}', f'e{number}:1', 'rimouski', 'est', 0)
@@ -98,7 +102,7 @@
         return directory
 
     def report(self, number: int) -> Report:
-        """Make one sidecar's report."""
+        """Return a report of one sidecar."""
         return Report(
             f's{number}',
             *('boot', 'advisory', 's:1', 'rimouski'),
@@ -109,38 +113,40 @@
         )
 
     @virtual
-    async def test_few_entries_hear_everybody(self) -> None:
-        subsets = Subsets(await self.make(5), REGIONS)
-        self.assertEqual(5, len(subsets.entries(self.report(1), 10).addresses))
+    async def test_all_entries_are_targets_while_few(self) -> None:
+        report_targets = ReportTargets(await self.make(5), REGIONS)
+        self.assertEqual(
+            5, len(report_targets.entries_for(self.report(1), 10).addresses)
+        )
 
     @virtual
     async def test_many_entries_share_the_sidecars(self) -> None:
-        subsets = Subsets(await self.make(40), REGIONS)
-        heard: dict[str, int] = {}
+        report_targets = ReportTargets(await self.make(40), REGIONS)
+        sidecars: dict[str, int] = {}
         for number in range(1000):
-            chosen = subsets.entries(self.report(number), 100).addresses
-            self.assertEqual(TARGETS, len(chosen))
+            chosen = report_targets.entries_for(self.report(number), 100).addresses
+            self.assertEqual(MAX_TARGETS, len(chosen))
             for address in chosen:
-                heard[address] = heard.get(address, 0) + 1
-        self.assertLess(max(heard.values()), 150)
-        self.assertGreater(min(heard.values()), 60)
+                sidecars[address] = sidecars.get(address, 0) + 1
+        self.assertLess(max(sidecars.values()), 150)
+        self.assertGreater(min(sidecars.values()), 60)
 
     @virtual
-    async def test_little_changes_when_an_entry_goes(self) -> None:
+    async def test_only_targets_of_a_removed_entry_change(self) -> None:
         directory = await self.make(40)
-        subsets = Subsets(directory, REGIONS)
+        report_targets = ReportTargets(directory, REGIONS)
         before = {
-            number: set(subsets.entries(self.report(number), 100).addresses)
+            number: set(report_targets.entries_for(self.report(number), 100).addresses)
             for number in range(500)
         }
         gone = directory.records['e7']._replace(successor='e8')
         await directory.store.put(record_key('e7'), encode_record(gone), None)
         await directory.refresh()
         for number, addresses in before.items():
-            after = set(subsets.entries(self.report(number), 100).addresses)
+            after = set(report_targets.entries_for(self.report(number), 100).addresses)
             self.assertEqual(addresses - {'e7:1'}, addresses & after)
 
-    def test_interval_bounds_what_an_entry_hears(self) -> None:
+    def test_interval_grows_with_the_number_of_hosts(self) -> None:
         for hosts, expected in (
             (1, 1000),
             (13, 1000),
@@ -148,4 +154,4 @@
             (130, 10_000),
             (9999, 10_000),
         ):
-            self.assertEqual(expected, interval(hosts), hosts)
+            self.assertEqual(expected, report_interval_ms(hosts), hosts)
