--- a/pollenwalk/connection/gateway_app.py
+++ b/pollenwalk/connection/gateway_app.py
@@ -49,7 +49,7 @@
         self.closing = closing
         self.started = False
 
-    async def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    async def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
         """Give a complete answer with its length."""
         length = (b'content-length', str(len(body)).encode())
         await self.start(status, [*headers, length])
@@ -234,7 +234,7 @@
     headers = [(b'content-type', b'application/problem+json')]
     if refusal.retry_after_ms is not None:
         headers.append(retry_header(refusal.retry_after_ms))
-    await reply.whole(status_of(refusal), headers, body)
+    await reply.send_complete(status_of(refusal), headers, body)
 
 
 def status_of(refusal: Refusal) -> int:
--- a/pollenwalk/policy/host_choice.py
+++ b/pollenwalk/policy/host_choice.py
@@ -55,7 +55,9 @@
 class HostChoice(Protocol):
     """A policy that picks a host."""
 
-    def choose(self, candidates: Iterable[Candidate], cost: CallCost) -> Candidate | None:
+    def choose(
+        self, candidates: Iterable[Candidate], cost: CallCost
+    ) -> Candidate | None:
         """Pick one of the candidates; None where there is none."""
 
 
@@ -70,7 +72,9 @@
         """Break ties by `rng`."""
         self.rng = rng
 
-    def choose(self, candidates: Iterable[Candidate], cost: CallCost) -> Candidate | None:
+    def choose(
+        self, candidates: Iterable[Candidate], cost: CallCost
+    ) -> Candidate | None:
         """Compare the expected finish at every host that isn't suspected."""
         known = list(candidates)
         trusted = [one for one in known if not one.suspected] or known
@@ -93,7 +97,7 @@
     )
 
 
-def wait_ms(candidate: Candidate, cost: CallCost) -> float:
+def queue_wait_ms(candidate: Candidate, cost: CallCost) -> float:
     """Estimate the wait for a slot at a host."""
     slots = max(candidate.slots, 1)
     queued = max(candidate.load + 1 - slots, 0)
@@ -106,5 +110,5 @@
     crowding_ms = cost.run_ms * CROWDING * min(share, 1)
     unread = max(cost.prompt_tokens - candidate.cached_tokens, 0)
     reading_ms = unread * cost.read_ms_per_token
-    waits_ms = round_trip_ms(candidate) + wait_ms(candidate, cost)
+    waits_ms = round_trip_ms(candidate) + queue_wait_ms(candidate, cost)
     return waits_ms + crowding_ms + reading_ms
--- a/pollenwalk/process/entry_service.py
+++ b/pollenwalk/process/entry_service.py
@@ -88,7 +88,7 @@
 
     def check_here(self, program_id: str) -> None:
         """Refuse what is not ours without a word on whether it ran."""
-        if self.entry.routing.is_here(program_id):
+        if self.entry.routing.is_owned_here(program_id):
             return
         owner = self.entry.directory.owner(home_of(program_id))
         if owner is None or owner.incarnation != self.entry.incarnation:
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -22,13 +22,13 @@
 from pollenwalk.process.placing import Placing
 from pollenwalk.process.store import ObjectStore
 from pollenwalk.process.tasks import TaskSet
+from pollenwalk.request.call_sender import ForwardingContext
 from pollenwalk.request.call_state import Call, call_deadline_ms
 from pollenwalk.request.http_messages import Request
-from pollenwalk.request.unary import run_unary
 from pollenwalk.request.program_turn import ProgramTurn
 from pollenwalk.request.reply import Reply
-from pollenwalk.request.call_sender import ForwardingContext
-from pollenwalk.request.streaming import Turn, StandaloneTurn, run_stream
+from pollenwalk.request.streaming import StandaloneTurn, Turn, run_stream
+from pollenwalk.request.unary import run_unary
 from pollenwalk.version.in_force import InForce
 from pollenwalk.version.routes import Configuration, Route
 
@@ -99,7 +99,9 @@
             settings.regions,
         )
         self.metrics = GatewayMetrics()
-        self.forwarding_context = ForwardingContext(clock, self.pool, placing, self.metrics, rng)
+        self.forwarding_context = ForwardingContext(
+            clock, self.pool, placing, self.metrics, rng
+        )
         self.links = KeeperLinks(
             network,
             clock,
--- a/pollenwalk/process/home.py
+++ b/pollenwalk/process/home.py
@@ -34,7 +34,7 @@
 )
 from pollenwalk.request.call import LiveCall, check_request
 from pollenwalk.request.entry_context import EntryContext
-from pollenwalk.request.execution import Execution, doubted
+from pollenwalk.request.execution import Execution, with_unknown_outcome
 
 END_WAIT_MS = 2000
 RENEW_MS = 5000
@@ -132,7 +132,7 @@
         except Refusal as refusal:
             if await self.vouches(refusal, request):
                 raise
-            raise doubted(refusal) from refusal
+            raise with_unknown_outcome(refusal) from refusal
 
     async def vouches(self, refusal: Refusal, request: CallProgram) -> bool:
         """Tell whether a refusal's 'not run' is surely true.
@@ -250,10 +250,10 @@
             await live.take_turn(call)
             call.finish(await Execution(self.context, live, call).run())
         except PollenwalkError as error:
-            call.refuse(error)
+            call.fail(error)
         finally:
             if not call.done.done():
-                call.refuse(cancelled(call) if live.ending else sealed())
+                call.fail(cancelled(call) if live.ending else sealed())
             live.calls.pop(call.request.key, None)
             live.tasks.pop(call.request.key, None)
             live.used_ms = self.context.clock.now_ms()
@@ -263,7 +263,7 @@
         """Let all calls go on at the successor: nothing counts here now."""
         for live in self.live.values():
             for call in list(live.calls.values()):
-                call.refuse(sealed())
+                call.fail(sealed())
             for task in list(live.tasks.values()):
                 task.cancel()
 
--- a/pollenwalk/process/placing.py
+++ b/pollenwalk/process/placing.py
@@ -1,11 +1,11 @@
 """Choosing an upstream host with what this gateway believes of all of them."""
 
 from pollenwalk.policy.host_choice import (
+    CallCost,
     Candidate,
     HostChoice,
-    CallCost,
+    queue_wait_ms,
     round_trip_ms,
-    wait_ms,
 )
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.host_book import SMOOTHING, HostBook, HostState
@@ -52,7 +52,7 @@
         states = self.book.usable(call.upstream)
         candidates = (self.candidate(state, now_ms) for state in states)
         waits = (
-            round_trip_ms(one) + wait_ms(one, cost)
+            round_trip_ms(one) + queue_wait_ms(one, cost)
             for one in candidates
             if not one.suspected
         )
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -69,7 +69,7 @@
         except Refusal as refusal:
             await self.recovered(live, call, intent, refusal)
         except PollenwalkError as error:
-            call.refuse(error)
+            call.fail(error)
         finally:
             live.calls.pop(intent.key, None)
             live.tasks.pop(intent.key, None)
@@ -92,7 +92,7 @@
         if call.stream.followers:
             await self.home.run(live, call)
             return
-        call.refuse(
+        call.fail(
             Refusal(
                 RefusalCode.CANCELLED,
                 'its entry died before the call was handed over',
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -11,7 +11,7 @@
 from pollenwalk.request.call import LiveCall
 from pollenwalk.request.dispatch import dispatch
 from pollenwalk.request.entry_context import EntryContext
-from pollenwalk.request.retry import pause_ms
+from pollenwalk.request.retry import backoff_ms
 from pollenwalk.version.resources import UpstreamSpec
 
 DEFAULT_MAX_TOKENS = 64
@@ -113,7 +113,9 @@
             finally:
                 self.context.fleet.returned(host.sidecar, self.call.id)
         self.context.fleet.answered(host.sidecar, answer.ahead)
-        self.context.retries.of(self.program.caller, self.request.upstream).earn()
+        self.context.retries.budget_of(
+            self.program.caller, self.request.upstream
+        ).earn()
         return answer._replace(ahead=0)
 
     def build(
@@ -182,7 +184,9 @@
         """
         self.avoid[host.sidecar] = None
         self.call.attempts += 1
-        budget = self.context.retries.of(self.program.caller, self.request.upstream)
+        budget = self.context.retries.budget_of(
+            self.program.caller, self.request.upstream
+        )
         if not budget.spend():
             raise Refusal(
                 RefusalCode.OVERLOADED,
@@ -190,7 +194,7 @@
                 retry_after_ms=RETRY_AFTER_MS,
             )
         await self.context.clock.sleep_ms(
-            pause_ms(self.call.attempts, self.context.rng),
+            backoff_ms(self.call.attempts, self.context.rng),
         )
 
     def note_held(self, host: HostView) -> None:
--- a/pollenwalk/request/call.py
+++ b/pollenwalk/request/call.py
@@ -75,7 +75,7 @@
             self.done.set_result(finished)
         self.stream.end()
 
-    def refuse(self, error: Exception) -> None:
+    def fail(self, error: Exception) -> None:
         """Give up without a record: the call has left no trace."""
         if not self.done.done():
             self.done.set_exception(error)
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -76,7 +76,7 @@
             final = refusal.retry_after_ms is None
             if final and self.live.may_have_run(self.request):
                 # An earlier try may have run, so the call takes its place.
-                return await self.finish(doubted(refusal), None)
+                return await self.finish(with_unknown_outcome(refusal), None)
             raise
 
     async def run_repeatable(self) -> FinishedCall:
@@ -339,7 +339,7 @@
     )
 
 
-def doubted(refusal: Refusal) -> Refusal:
+def with_unknown_outcome(refusal: Refusal) -> Refusal:
     """Give a refusal again without the claim that the call did not run."""
     return Refusal(
         RefusalCode(refusal.code),
--- a/pollenwalk/request/reply.py
+++ b/pollenwalk/request/reply.py
@@ -14,7 +14,7 @@
 
     started: bool
 
-    async def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    async def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
         """Give a complete answer."""
 
     async def start(self, status: int, headers: Headers) -> None:
--- a/pollenwalk/request/retry.py
+++ b/pollenwalk/request/retry.py
@@ -9,9 +9,9 @@
 
 RETRIES_PER_SUCCESS = 0.2
 MAX_SAVED_RETRIES = 10.0
-FIRST_PAUSE_MS = 50
-LAST_PAUSE_MS = 2000
-BACKOFF = 2
+FIRST_BACKOFF_MS = 50
+MAX_BACKOFF_MS = 2000
+BACKOFF_FACTOR = 2
 
 
 class RetryBudget:
@@ -19,17 +19,17 @@
 
     def __init__(self) -> None:
         """Start with a full reserve."""
-        self.saved = MAX_SAVED_RETRIES
+        self.balance = MAX_SAVED_RETRIES
 
     def earn(self) -> None:
         """Note a success."""
-        self.saved = min(self.saved + RETRIES_PER_SUCCESS, MAX_SAVED_RETRIES)
+        self.balance = min(self.balance + RETRIES_PER_SUCCESS, MAX_SAVED_RETRIES)
 
     def spend(self) -> bool:
         """Take one retry; False when none is left."""
-        if self.saved < 1:
+        if self.balance < 1:
             return False
-        self.saved -= 1
+        self.balance -= 1
         return True
 
 
@@ -40,12 +40,12 @@
         """Start empty."""
         self.budgets: dict[tuple[str, str], RetryBudget] = {}
 
-    def of(self, caller: str, upstream: str) -> RetryBudget:
+    def budget_of(self, caller: str, upstream: str) -> RetryBudget:
         """Give the budget of a pair, making it at first use."""
         return self.budgets.setdefault((caller, upstream), RetryBudget())
 
 
-def pause_ms(attempt: int, rng: random.Random) -> float:
+def backoff_ms(attempt: int, rng: random.Random) -> float:
     """Draw the pause before a retry, with full jitter.
 
     Args:
@@ -55,5 +55,5 @@
     Returns:
         Milliseconds to wait.
     """
-    ceiling = min(FIRST_PAUSE_MS * BACKOFF ** (attempt - 1), LAST_PAUSE_MS)
+    ceiling = min(FIRST_BACKOFF_MS * BACKOFF_FACTOR ** (attempt - 1), MAX_BACKOFF_MS)
     return rng.uniform(0, ceiling)
--- a/pollenwalk/request/routing.py
+++ b/pollenwalk/request/routing.py
@@ -66,7 +66,7 @@
         """Give the incarnation whose programs are served here."""
         return self.home.context.incarnation
 
-    def is_here(self, program_id: str) -> bool:
+    def is_owned_here(self, program_id: str) -> bool:
         """Tell whether this entry is a program's home."""
         if program_id in self.home.book.programs:
             return not self.home.context.recorder.journal.fenced
@@ -240,7 +240,7 @@
 
     async def call_once(self, request: CallProgram) -> AsyncIterator[Tokens | Answer]:
         """Run a call at the present home."""
-        if self.is_here(request.program):
+        if self.is_owned_here(request.program):
             source = self.home.call(request)
         else:
             owner = await self.locate(request.program)
@@ -275,7 +275,7 @@
 
     async def ask_home(self, program_id: str, message: Any) -> View:
         """Ask the present home once."""
-        if self.is_here(program_id):
+        if self.is_owned_here(program_id):
             return await self.answer(message)
         owner = await self.locate(program_id)
         if owner.incarnation != self.incarnation:
--- a/pollenwalk/request/streaming.py
+++ b/pollenwalk/request/streaming.py
@@ -6,11 +6,11 @@
 
 from pollenwalk.errors import BrokenAnswer
 from pollenwalk.process.clock import MS_PER_SECOND
+from pollenwalk.request.call_sender import CallSender, ForwardingContext
 from pollenwalk.request.call_state import Call
 from pollenwalk.request.event_stream import Event, EventSplitter
 from pollenwalk.request.exchange import Exchange
 from pollenwalk.request.reply import Reply
-from pollenwalk.request.call_sender import CallSender, ForwardingContext
 
 
 class Turn(Protocol):
@@ -92,7 +92,9 @@
         last_event: id of the last event that was shown.
     """
 
-    def __init__(self, sender: CallSender, call: Call, turn: Turn, reply: Reply) -> None:
+    def __init__(
+        self, sender: CallSender, call: Call, turn: Turn, reply: Reply
+    ) -> None:
         """Prepare to pass a stream on."""
         self.sender = sender
         self.call = call
@@ -137,7 +139,7 @@
         if not exchange.succeeded:
             body = await exchange.body()
             head = exchange.head
-            await self.reply.whole(head.status, head.headers, body)
+            await self.reply.send_complete(head.status, head.headers, body)
             return
         splitter = EventSplitter()
         async for chunk in exchange.chunks():
--- a/pollenwalk/request/unary.py
+++ b/pollenwalk/request/unary.py
@@ -1,10 +1,10 @@
 """Calls whose answers are passed on whole."""
 
 from pollenwalk.errors import BrokenAnswer, Outcome, Refusal, RefusalCode
+from pollenwalk.request.call_sender import CallSender, ForwardingContext
 from pollenwalk.request.call_state import Call
 from pollenwalk.request.exchange import Exchange
 from pollenwalk.request.reply import Reply
-from pollenwalk.request.call_sender import CallSender, ForwardingContext
 
 
 async def run_unary(context: ForwardingContext, call: Call, reply: Reply) -> None:
@@ -26,7 +26,7 @@
                 Outcome.UNKNOWN,
             )
     sender.note_run()
-    await reply.whole(exchange.head.status, exchange.head.headers, body)
+    await reply.send_complete(exchange.head.status, exchange.head.headers, body)
 
 
 async def body_or_none(sender: CallSender, exchange: Exchange) -> bytes | None:
--- a/test/connection/test_gateway_app.py
+++ b/test/connection/test_gateway_app.py
@@ -55,7 +55,7 @@
 
         async def handle(request: Request, reply: Reply) -> None:
             seen.append(request)
-            await reply.whole(200, [(b'x-own', b'1')], b'hello')
+            await reply.send_complete(200, [(b'x-own', b'1')], b'hello')
 
         async with serving(handle) as (app, port):
             app.closing = True
--- a/test/policy/test_host_choice.py
+++ b/test/policy/test_host_choice.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from pollenwalk.policy.host_choice import Candidate, EarliestFinish, CallCost
+from pollenwalk.policy.host_choice import CallCost, Candidate, EarliestFinish
 
 COST = CallCost(200, 1000, 0.005)
 
--- a/test/process/test_limits.py
+++ b/test/process/test_limits.py
@@ -14,7 +14,7 @@
 from pollenwalk.process.pacing import Pace
 from pollenwalk.process.store import ABSENT
 from pollenwalk.process.subsets import TARGETS, Subsets, interval
-from pollenwalk.request.retry import MAX_SAVED_RETRIES, RetryBudget, pause_ms
+from pollenwalk.request.retry import MAX_SAVED_RETRIES, RetryBudget, backoff_ms
 from standin.store import MemoryStore
 from test.helper import make_clock, virtual
 
@@ -76,7 +76,7 @@
     def test_pauses_grow_within_bounds(self) -> None:
         rng = random.Random(1)
         for attempt, ceiling in ((1, 50), (2, 100), (4, 400), (20, 2000)):
-            pauses = [pause_ms(attempt, rng) for _ in range(200)]
+            pauses = [backoff_ms(attempt, rng) for _ in range(200)]
             self.assertLessEqual(max(pauses), ceiling)
             self.assertGreater(max(pauses), ceiling * 0.9)
 
--- a/test/request/test_forwarding.py
+++ b/test/request/test_forwarding.py
@@ -15,11 +15,11 @@
 from pollenwalk.process.gateway_metrics import GatewayMetrics
 from pollenwalk.process.host_book import HostBook
 from pollenwalk.process.placing import Placing
+from pollenwalk.request.call_sender import ForwardingContext
 from pollenwalk.request.call_state import Call
 from pollenwalk.request.http_messages import Headers, Request, RequestMetadata
-from pollenwalk.request.unary import run_unary
-from pollenwalk.request.call_sender import ForwardingContext
 from pollenwalk.request.streaming import StandaloneTurn, run_stream
+from pollenwalk.request.unary import run_unary
 from pollenwalk.version.routes import CallKind, Route, Share
 from standin.platform.host import (
     Line,
@@ -125,7 +125,7 @@
         self.body = b''
         self.finished = False
 
-    async def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    async def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
         """Take a complete answer."""
         await self.start(status, headers)
         await self.write(body)
