--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -17,9 +17,9 @@
 DEFAULT_MAX_TOKENS = 64
 MAX_ATTEMPTS = 6
 NO_HOST_PAUSE_MS = 100
-NO_HOST_WAIT_MS = 1500
-REFUSED_PAUSE_MS = 100
-LOST_PAUSE_MS = 1000
+NO_HOST_TIMEOUT_MS = 1500
+REFUSAL_PAUSE_MS = 100
+LOST_HOST_PAUSE_MS = 1000
 RETRY_AFTER_MS = 500
 
 
@@ -40,7 +40,7 @@
         self.spec = spec
         self.program = live.program
         self.request = call.request
-        self.avoid: dict[str, None] = {}
+        self.avoided_sidecars: dict[str, None] = {}
 
     @property
     def priority(self) -> int:
@@ -54,20 +54,20 @@
         """Count the tokens that the call adds to the prompt."""
         return count_tokens(str(self.request.argument.get('message', '')))
 
-    async def pick(self) -> HostView:
+    async def choose_host(self) -> HostView:
         """Choose a host, waiting a little when there is none.
 
         Raises:
             Refusal: no host is to be had.
         """
-        until_ms = self.context.clock.now_ms() + min(
-            NO_HOST_WAIT_MS,
+        give_up_at_ms = self.context.clock.now_ms() + min(
+            NO_HOST_TIMEOUT_MS,
             self.call.remaining_ms(),
         )
         while True:
             if self.context.recorder.journal.closing:
                 raise Fenced('this home is about to be handed over')
-            if self.context.clock.now_ms() >= until_ms:
+            if self.context.clock.now_ms() >= give_up_at_ms:
                 raise Refusal(
                     RefusalCode.NO_UPSTREAM,
                     f'no host of {self.request.upstream} takes work now',
@@ -92,10 +92,10 @@
             self.live.cached,
             float(max_tokens) * self.spec.decode_ms,
             self.spec.prefill_ms,
-            frozenset(self.avoid),
+            frozenset(self.avoided_sidecars),
         )
 
-    async def hand_over(
+    async def dispatch_to(
         self,
         host: HostView,
         max_tokens: int,
@@ -105,7 +105,7 @@
         if connection is None:
             connection = await self.context.peers(host.address).connected()
         with self.context.tracer.span('dispatch', self.request.trace) as trace:
-            message = self.build(host, connection.boot, max_tokens, trace)
+            message = self.build_dispatch(host, connection.boot, max_tokens, trace)
             self.call.running = True
             self.context.fleet.sent(host.sidecar, self.call.id)
             try:
@@ -118,7 +118,7 @@
         ).earn()
         return answer._replace(ahead=0)
 
-    def build(
+    def build_dispatch(
         self,
         host: HostView,
         boot: str,
@@ -149,13 +149,13 @@
             trace,
         )
 
-    async def lost(self, host: HostView) -> None:
+    async def handle_lost_host(self, host: HostView) -> None:
         """Leave a silent host out and pause before the next attempt."""
         logger.info('host_lost', sidecar=host.sidecar, call=self.call.id)
-        self.context.fleet.refused(host.sidecar, LOST_PAUSE_MS)
-        await self.pause(host)
+        self.context.fleet.refused(host.sidecar, LOST_HOST_PAUSE_MS)
+        await self.back_off(host)
 
-    async def refused(self, host: HostView, refusal: Refusal) -> None:
+    async def handle_refusal(self, host: HostView, refusal: Refusal) -> None:
         """Take a proven refusal; go on to another host or give up.
 
         Raises:
@@ -166,23 +166,23 @@
         else:
             self.context.fleet.refused(
                 host.sidecar,
-                refusal.retry_after_ms or REFUSED_PAUSE_MS,
+                refusal.retry_after_ms or REFUSAL_PAUSE_MS,
             )
-        if not self.attempts_left():
+        if not self.has_attempts_left():
             raise refusal
-        await self.pause(host)
+        await self.back_off(host)
 
-    def attempts_left(self) -> bool:
+    def has_attempts_left(self) -> bool:
         """Tell whether the call may be tried once more."""
         return self.call.attempts < MAX_ATTEMPTS and self.call.remaining_ms() > 0
 
-    async def pause(self, host: HostView) -> None:
+    async def back_off(self, host: HostView) -> None:
         """Spend a retry and wait with jitter.
 
         Raises:
             Refusal: no retry is left for this caller and upstream.
         """
-        self.avoid[host.sidecar] = None
+        self.avoided_sidecars[host.sidecar] = None
         self.call.attempts += 1
         budget = self.context.retries.budget_of(
             self.program.caller, self.request.upstream
@@ -197,7 +197,7 @@
             backoff_ms(self.call.attempts, self.context.rng),
         )
 
-    def note_held(self, host: HostView) -> None:
+    def note_cached_history(self, host: HostView) -> None:
         """Remember what the host's sidecar and engine now hold."""
         self.live.held[host.sidecar] = self.program.history.digest
         self.live.cached[host.sidecar] = self.live.history_tokens
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -35,11 +35,11 @@
 from pollenwalk.request.entry_context import EntryContext
 from pollenwalk.version.resources import ProgramSpec, UpstreamSpec
 
-INTENT_WAIT_MS = 2000
+INTENT_TIMEOUT_MS = 2000
 RESOLVE_GRACE_MS = 5000
 
 
-Ending = Answer | Refusal
+CallResult = Answer | Refusal
 
 
 class Execution:
@@ -67,14 +67,14 @@
             Refusal: the call did not run and takes no place in the order.
         """
         if not self.context.recorder.journal.fresh:
-            await self.confirm()
+            await self.confirm_ownership()
         if self.request.operation not in self.spec.idempotent:
             return await self.run_once()
         try:
             return await self.run_repeatable()
         except Refusal as refusal:
-            final = refusal.retry_after_ms is None
-            if final and self.live.may_have_run(self.request):
+            is_final = refusal.retry_after_ms is None
+            if is_final and self.live.may_have_run(self.request):
                 # An earlier try may have run, so the call takes its place.
                 return await self.finish(with_unknown_outcome(refusal), None)
             raise
@@ -82,34 +82,36 @@
     async def run_repeatable(self) -> FinishedCall:
         """Run a call that may be repeated, a model's within its budget."""
         while True:
-            max_tokens = await self.reserve() if self.is_model else 0
-            host = await self.attempts.pick()
-            ending = await self.tried(host, max_tokens)
-            if ending is not None:
-                return await self.finish(ending, host)
+            max_tokens = await self.ensure_reserved() if self.is_model else 0
+            host = await self.attempts.choose_host()
+            call_result = await self.attempt_repeatable(host, max_tokens)
+            if call_result is not None:
+                return await self.finish(call_result, host)
 
     @property
     def is_model(self) -> bool:
         """Tell a model call from one of a plain service."""
         return self.spec.kind == 'model'
 
-    async def tried(self, host: HostView, max_tokens: int) -> Ending | None:
+    async def attempt_repeatable(
+        self, host: HostView, max_tokens: int
+    ) -> CallResult | None:
         """Hand over once.
 
         Returns:
             How the call ended; None when another attempt is due.
         """
         try:
-            return await self.attempts.hand_over(host, max_tokens)
+            return await self.attempts.dispatch_to(host, max_tokens)
         except ConnectionLost:
             self.note_maybe_ran()
-            await self.forfeit()
-            await self.attempts.lost(host)
+            await self.forfeit_reservation()
+            await self.attempts.handle_lost_host(host)
         except Refusal as refusal:
-            return await self.judged(refusal, host)
+            return await self.final_refusal(refusal, host)
         return None
 
-    async def judged(self, refusal: Refusal, host: HostView) -> Refusal | None:
+    async def final_refusal(self, refusal: Refusal, host: HostView) -> Refusal | None:
         """Decide whether a refusal is final.
 
         Returns:
@@ -121,15 +123,15 @@
         not_run = refusal.outcome == Outcome.NOT_RUN
         if not not_run:
             self.note_maybe_ran()
-        again = not_run or (not self.is_model and repeatable(refusal))
-        if again and self.attempts.attempts_left():
-            await self.attempts.refused(host, refusal)
+        may_retry = not_run or (not self.is_model and is_retryable(refusal))
+        if may_retry and self.attempts.has_attempts_left():
+            await self.attempts.handle_refusal(host, refusal)
             return None
         if not_run:
             raise refusal
         return refusal
 
-    async def forfeit(self) -> None:
+    async def forfeit_reservation(self) -> None:
         """Count a lost attempt's reservation as spent."""
         if not self.is_model:
             return
@@ -139,67 +141,69 @@
         )
         self.call.stream.restart()
 
-    async def confirm(self) -> None:
+    async def confirm_ownership(self) -> None:
         """See that no successor runs this program by now.
 
         Raises:
             Refusal: neither the store nor the witnesses answer.
         """
         try:
-            await self.context.recorder.confirm(INTENT_WAIT_MS)
+            await self.context.recorder.confirm(INTENT_TIMEOUT_MS)
         except TimeoutError as error:
             raise store_unavailable() from error
 
     async def run_once(self) -> FinishedCall:
         """Run a non-idempotent call at most once."""
         if self.program.uncertain:
-            return await self.finish(uncertain(), None)
+            return await self.finish(records_lost_refusal(), None)
         while True:
-            host, connection = await self.reach()
-            await self.intend(host, connection)
-            ending = await self.attempt_once(host, connection)
-            if not is_not_run(ending):
-                return await self.finish(ending, host)
-            await self.withdraw()
-            await self.attempts.refused(host, ending)
-
-    async def reach(self) -> tuple[HostView, Connection]:
+            host, connection = await self.connect_to_host()
+            await self.record_intent(host, connection)
+            call_result = await self.attempt_once(host, connection)
+            if not is_proven_not_run(call_result):
+                return await self.finish(call_result, host)
+            await self.record_withdrawal()
+            await self.attempts.handle_refusal(host, call_result)
+
+    async def connect_to_host(self) -> tuple[HostView, Connection]:
         """Connect to a host; nothing has been handed over if that fails."""
         while True:
-            host = await self.attempts.pick()
+            host = await self.attempts.choose_host()
             try:
                 return host, await self.context.peers(host.address).connected()
             except ConnectionLost:
-                await self.attempts.lost(host)
+                await self.attempts.handle_lost_host(host)
 
-    async def attempt_once(self, host: HostView, connection: Connection) -> Ending:
+    async def attempt_once(self, host: HostView, connection: Connection) -> CallResult:
         """Hand over once; after a lost connection find out what happened."""
         try:
-            return await self.attempts.hand_over(host, 0, connection)
+            return await self.attempts.dispatch_to(host, 0, connection)
         except ConnectionLost:
-            return await self.resolve(host, connection)
+            return await self.resolve_outcome(host, connection)
         except Refusal as refusal:
             return refusal
 
-    async def resolve(self, host: HostView, connection: Connection) -> Ending:
+    async def resolve_outcome(
+        self, host: HostView, connection: Connection
+    ) -> CallResult:
         """Ask the sidecar what became of a call that was handed to it."""
         resolver = Resolver(
             self.context.peers(host.address),
             self.context.clock,
             connection.boot,
         )
-        until_ms = self.call.deadline_ms + RESOLVE_GRACE_MS
+        give_up_at_ms = self.call.deadline_ms + RESOLVE_GRACE_MS
         try:
-            answer = await resolver.resolve(self.call, '', until_ms)
+            answer = await resolver.resolve(self.call, '', give_up_at_ms)
         except Refusal as refusal:
             return refusal
-        return answer or never_arrived()
+        return answer or never_arrived_refusal()
 
     def note_maybe_ran(self) -> None:
         """Note that a try of this call may have run."""
         self.live.maybe_ran[self.request.key] = None
 
-    async def reserve(self) -> int:
+    async def ensure_reserved(self) -> int:
         """Make sure that the budget covers the call.
 
         Returns:
@@ -208,22 +212,27 @@
         Raises:
             Refusal: the budget is exhausted.
         """
-        wished = int(self.request.argument.get('max_tokens', DEFAULT_MAX_TOKENS))
-        wanted = self.attempts.message_tokens + wished
+        max_answer_tokens = int(
+            self.request.argument.get('max_tokens', DEFAULT_MAX_TOKENS)
+        )
+        required_tokens = self.attempts.message_tokens + max_answer_tokens
         if self.program.budget.left <= self.attempts.message_tokens:
             raise Refusal(
                 RefusalCode.BUDGET_EXHAUSTED,
                 f'{self.program.budget.left} tokens are left',
             )
-        if self.program.budget.reserved < wanted:
+        if self.program.budget.reserved < required_tokens:
             await self.context.recorder.record(
                 self.live,
-                lambda: [Reserved(self.program.id, wanted)],
-                INTENT_WAIT_MS,
+                lambda: [Reserved(self.program.id, required_tokens)],
+                INTENT_TIMEOUT_MS,
             )
-        return min(wished, self.program.budget.reserved - self.attempts.message_tokens)
+        return min(
+            max_answer_tokens,
+            self.program.budget.reserved - self.attempts.message_tokens,
+        )
 
-    def make_intent(self, host: HostView, connection: Connection) -> Intended:
+    def build_intent(self, host: HostView, connection: Connection) -> Intended:
         """Say what is about to be handed over, and to whom."""
         return Intended(
             self.program.id,
@@ -238,19 +247,19 @@
             self.context.incarnation,
         )
 
-    async def intend(self, host: HostView, connection: Connection) -> None:
+    async def record_intent(self, host: HostView, connection: Connection) -> None:
         """Make the intent durable before the call is handed over.
 
         Raises:
             Refusal: the journal gave no answer in time; nothing was handed
                 over and the intent is withdrawn.
         """
-        intent = self.make_intent(host, connection)
+        intent = self.build_intent(host, connection)
         try:
             await self.context.recorder.record(
                 self.live,
                 lambda: [intent],
-                INTENT_WAIT_MS,
+                INTENT_TIMEOUT_MS,
             )
         except Refusal:
             self.context.recorder.record_later(
@@ -259,7 +268,7 @@
             )
             raise
 
-    async def withdraw(self) -> None:
+    async def record_withdrawal(self) -> None:
         """Note that an intent was proven not to have run."""
         self.call.running = False
         await self.context.recorder.record(
@@ -267,10 +276,12 @@
             lambda: [Withdrawn(self.program.id, self.request.key)],
         )
 
-    async def finish(self, ending: Ending, host: HostView | None) -> FinishedCall:
+    async def finish(
+        self, call_result: CallResult, host: HostView | None
+    ) -> FinishedCall:
         """Record the final answer or refusal and keep it."""
-        answer = ending if isinstance(ending, Answer) else None
-        refusal = ending if isinstance(ending, Refusal) else None
+        answer = call_result if isinstance(call_result, Answer) else None
+        refusal = call_result if isinstance(call_result, Refusal) else None
         record = Finished(
             self.program.id,
             self.request.key,
@@ -280,19 +291,19 @@
             self.request.operation,
             answer,
             RefusalBody.of(refusal) if refusal else None,
-            self.entries(answer),
-            self.spent(answer),
-            self.next_reserve(),
+            self.history_entries(answer),
+            self.spent_tokens(answer),
+            self.next_reservation(),
             host.address if self.is_model and host else '',
         )
         await self.context.recorder.record(self.live, lambda: [record])
         if host is not None:
             self.context.recorder.settle(host.address, self.call.id)
             if self.is_model and answer:
-                self.attempts.note_held(host)
+                self.attempts.note_cached_history(host)
         return self.program.finished[self.request.key]
 
-    def spent(self, answer: Answer | None) -> int:
+    def spent_tokens(self, answer: Answer | None) -> int:
         """Count what the call has cost; without an answer, all it might."""
         if not self.is_model:
             return 0
@@ -300,14 +311,14 @@
             return self.program.budget.reserved
         return self.attempts.message_tokens + answer.tokens
 
-    def next_reserve(self) -> int:
+    def next_reservation(self) -> int:
         """Give what to set aside for the program's next call."""
         budget = self.program.budget
         if self.is_model:
             return budget.ahead(self.declaration.reserve_tokens)
         return budget.reserved
 
-    def entries(self, answer: Answer | None) -> list[HistoryItem]:
+    def history_entries(self, answer: Answer | None) -> list[HistoryItem]:
         """Give what the call adds to the history."""
         if answer is None:
             return []
@@ -316,12 +327,12 @@
         return plain_entries(self.request.operation, self.request.argument, answer)
 
 
-def is_not_run(ending: Ending) -> bool:
+def is_proven_not_run(call_result: CallResult) -> bool:
     """Tell whether a call is proven not to have run."""
-    return isinstance(ending, Refusal) and ending.outcome == Outcome.NOT_RUN
+    return isinstance(call_result, Refusal) and call_result.outcome == Outcome.NOT_RUN
 
 
-def never_arrived() -> Refusal:
+def never_arrived_refusal() -> Refusal:
     """Refuse a call that its sidecar has never seen and never will."""
     return Refusal(
         RefusalCode.NO_UPSTREAM,
@@ -330,7 +341,7 @@
     )
 
 
-def uncertain() -> Refusal:
+def records_lost_refusal() -> Refusal:
     """Refuse what may have run before a program's last records were lost."""
     return Refusal(
         RefusalCode.OUTCOME_UNKNOWN,
@@ -349,6 +360,6 @@
     )
 
 
-def repeatable(refusal: Refusal) -> bool:
+def is_retryable(refusal: Refusal) -> bool:
     """Tell whether an idempotent call is worth another attempt."""
     return refusal.code not in {RefusalCode.MALFORMED, RefusalCode.DEADLINE}
--- a/test/test_broken.py
+++ b/test/test_broken.py
@@ -39,7 +39,7 @@
 
 async def intend_later(self: Execution, host: Any, connection: Any) -> None:
     """Hand over before the intent is durable."""
-    intent = self.make_intent(host, connection)
+    intent = self.build_intent(host, connection)
     self.context.recorder.record_later(self.live, lambda: [intent])
 
 
@@ -80,7 +80,7 @@
     Break(
         'dispatch before the intent is durable',
         Execution,
-        'intend',
+        'record_intent',
         intend_later,
         'home_dies_before_intent_is_durable',
     ),
