--- a/pollenwalk/request/call_sender.py
+++ b/pollenwalk/request/call_sender.py
@@ -31,9 +31,9 @@
 
 # A share of the objective within which a refused caller can still come back
 # and be served on time.
-HOLD_SHARE = 0.25
+REFUSED_HOLD_SHARE = 0.25
 # Pause before hosts that refused are asked again.
-ASK_AGAIN_MS = 25.0
+HOST_RETRY_INTERVAL_MS = 25.0
 # Retry-After where nothing better is known: about one service time.
 RETRY_AFTER_MS = 200
 
@@ -66,8 +66,8 @@
         self.cost = CallCost(context.placing.run_ms(call))
         self.runs = 0
         self.sent_ms = 0.0
-        self.waited = False
-        self.tried: set[str] = set()
+        self.found_no_free_slot = False
+        self.tried_hosts: set[str] = set()
 
     def check_program_admission(self) -> None:
         """Turn a program back before any work is done for it.
@@ -98,21 +98,21 @@
             retry_after_ms=round(retry_after_ms),
         )
 
-    def note_run(self) -> None:
+    def record_run_time(self) -> None:
         """Learn how long a call that was answered whole has run."""
-        if self.waited:
+        if self.found_no_free_slot:
             return
         run_ms = self.context.clock.now_ms() - self.sent_ms
         self.context.placing.ran(self.call, run_ms)
 
-    def may_run(self) -> bool:
+    def may_send(self) -> bool:
         """Tell whether one more host may run the call."""
         if not self.runs:
             return True
         route = self.call.route
         return route.idempotent and self.runs < route.max_attempts
 
-    async def begin(self, last_event: str = '') -> Exchange:
+    async def open_exchange(self, last_event: str = '') -> Exchange:
         """Find a host that begins to answer.
 
         Args:
@@ -122,21 +122,21 @@
         Raises:
             Refusal: none does.
         """
-        while self.may_run():
-            state = await self.next_host()
+        while self.may_send():
+            state = await self.choose_host()
             try:
-                return await self.send(state, last_event)
+                return await self.send_to_host(state, last_event)
             except NotSent as error:
-                self.bounced(state, error.message)
+                self.handle_not_run(state, error.message)
             except BrokenAnswer as error:
-                self.broke(state, error.message)
+                self.handle_broken_answer(state, error.message)
         raise Refusal(
             RefusalCode.UPSTREAM_FAILED,
             'the upstream host broke off its answer',
             Outcome.UNKNOWN,
         )
 
-    async def next_host(self) -> HostState:
+    async def choose_host(self) -> HostState:
         """Choose a host; once all have refused, ask them again for a while.
 
         Raises:
@@ -144,17 +144,20 @@
         """
         clock = self.context.clock
         target_ms = self.call.route.target_ms
-        limit_ms = self.call.request.arrived_ms + target_ms * HOLD_SHARE
+        give_up_at_ms = self.call.request.arrived_ms + target_ms * REFUSED_HOLD_SHARE
         while True:
-            state = self.context.placing.choose(self.call, self.cost, self.tried)
+            state = self.context.placing.choose(self.call, self.cost, self.tried_hosts)
             if state is not None:
                 return state
-            if not self.tried or clock.now_ms() + ASK_AGAIN_MS > limit_ms:
-                raise self.nobody()
-            await clock.sleep_ms(ASK_AGAIN_MS)
-            self.tried.clear()
+            if (
+                not self.tried_hosts
+                or clock.now_ms() + HOST_RETRY_INTERVAL_MS > give_up_at_ms
+            ):
+                raise self.no_host_refusal()
+            await clock.sleep_ms(HOST_RETRY_INTERVAL_MS)
+            self.tried_hosts.clear()
 
-    def nobody(self) -> Refusal:
+    def no_host_refusal(self) -> Refusal:
         """Refuse a call that no host takes."""
         if self.runs:
             return Refusal(
@@ -162,14 +165,14 @@
                 'no other upstream host takes the call',
                 Outcome.UNKNOWN,
             )
-        code = RefusalCode.OVERLOADED if self.tried else RefusalCode.NO_UPSTREAM
+        code = RefusalCode.OVERLOADED if self.tried_hosts else RefusalCode.NO_UPSTREAM
         return Refusal(
             code,
             f'{self.call.upstream}: no host takes the call',
             retry_after_ms=RETRY_AFTER_MS,
         )
 
-    async def send(self, state: HostState, last_event: str) -> Exchange:
+    async def send_to_host(self, state: HostState, last_event: str) -> Exchange:
         """Send to one host and wait for the beginning of its answer.
 
         Raises:
@@ -177,7 +180,7 @@
             BrokenAnswer: the host may have run the call.
         """
         self.sent_ms = self.context.clock.now_ms()
-        self.waited = state.load(self.sent_ms) >= state.listed.slots
+        self.found_no_free_slot = state.load(self.sent_ms) >= state.listed.slots
         state.in_flight += 1
         try:
             link = await self.context.pool.take(state.listed)
@@ -186,13 +189,13 @@
             raise
         exchange = Exchange(self.context.pool, state, link)
         try:
-            await self.ask(exchange, last_event)
+            await self.send_request(exchange, last_event)
         except BaseException:
             exchange.close()
             raise
         return exchange
 
-    async def ask(self, exchange: Exchange, last_event: str) -> None:
+    async def send_request(self, exchange: Exchange, last_event: str) -> None:
         """Send on one connection and read the beginning of the answer."""
         request = self.call.request
         state = exchange.state
@@ -200,7 +203,7 @@
         await exchange.link.send(
             request.method,
             request.target,
-            self.headers(state, last_event),
+            self.build_headers(state, last_event),
             self.body,
         )
         self.runs += 1
@@ -229,20 +232,20 @@
             version=self.call.version,
         )
 
-    def headers(self, state: HostState, last_event: str) -> Headers:
+    def build_headers(self, state: HostState, last_event: str) -> Headers:
         """Write the headers for one host."""
         remaining_ms = self.call.remaining_ms(self.context.clock.now_ms())
         added = sent_headers(state.listed.id, remaining_ms, None)
-        given = self.call.request.headers
+        request_headers = self.call.request.headers
         if last_event:
             resume = resume_header(last_event)
-            given = [one for one in given if one[0] != resume[0]]
+            request_headers = [one for one in request_headers if one[0] != resume[0]]
             added.append(resume)
-        return [*given, *added]
+        return [*request_headers, *added]
 
-    def bounced(self, state: HostState, reason: str) -> None:
+    def handle_not_run(self, state: HostState, reason: str) -> None:
         """Note a host that did not run the call."""
-        self.tried.add(state.listed.id)
+        self.tried_hosts.add(state.listed.id)
         self.context.placing.bounced(state, reason)
         self.context.metrics.sent('not_run')
         logger.info(
@@ -252,9 +255,9 @@
             reason=reason,
         )
 
-    def broke(self, state: HostState, reason: str) -> None:
+    def handle_broken_answer(self, state: HostState, reason: str) -> None:
         """Note a host that may have run the call and gave no answer."""
-        self.tried.add(state.listed.id)
+        self.tried_hosts.add(state.listed.id)
         state.failed(self.context.clock.now_ms())
         self.context.metrics.sent('broken')
         logger.warning(
--- a/pollenwalk/request/exchange.py
+++ b/pollenwalk/request/exchange.py
@@ -26,7 +26,7 @@
         self.state = state
         self.link = link
         self.head = AnswerHead(0, [])
-        self.whole = False
+        self.complete = False
         self.closed = False
 
     def __enter__(self) -> 'Exchange':
@@ -48,7 +48,7 @@
             return
         self.closed = True
         self.state.in_flight -= 1
-        if self.whole:
+        if self.complete:
             self.pool.give_back(self.state.listed, self.link)
         else:
             self.link.abort()
@@ -66,7 +66,7 @@
         """
         async for chunk in self.link.chunks():
             yield chunk
-        self.whole = True
+        self.complete = True
 
     async def body(self) -> bytes:
         """Read the whole body."""
--- a/pollenwalk/request/streaming.py
+++ b/pollenwalk/request/streaming.py
@@ -104,20 +104,20 @@
 
     async def run(self) -> None:
         """Pass the stream on, from several hosts if it may be resumed."""
-        exchange = await self.sender.begin()
-        while not await self.passed_on(exchange):
-            exchange = await self.sender.begin(self.last_event)
-            self.check_resumed(exchange)
+        exchange = await self.sender.open_exchange()
+        while not await self.forward_answer(exchange):
+            exchange = await self.sender.open_exchange(self.last_event)
+            self.check_resumed_status(exchange)
         if exchange.succeeded:
-            self.sender.note_run()
+            self.sender.record_run_time()
 
-    def check_resumed(self, exchange: Exchange) -> None:
+    def check_resumed_status(self, exchange: Exchange) -> None:
         """Refuse to join a failure to a stream that has begun."""
         if self.reply.started and not exchange.succeeded:
             exchange.close()
             raise BrokenAnswer(f'resumed with status {exchange.head.status}')
 
-    async def passed_on(self, exchange: Exchange) -> bool:
+    async def forward_answer(self, exchange: Exchange) -> bool:
         """Pass on what one host gives; False where another may go on.
 
         Raises:
@@ -125,16 +125,16 @@
         """
         try:
             with exchange:
-                await self.pass_answer(exchange)
+                await self.forward_exchange(exchange)
         except BrokenAnswer as error:
-            self.sender.broke(exchange.state, error.message)
-            if self.sender.may_run():
+            self.sender.handle_broken_answer(exchange.state, error.message)
+            if self.sender.may_send():
                 return False
             raise
         exchange.state.worked()
         return True
 
-    async def pass_answer(self, exchange: Exchange) -> None:
+    async def forward_exchange(self, exchange: Exchange) -> None:
         """Pass on a stream, or an answer that is none."""
         if not exchange.succeeded:
             body = await exchange.body()
@@ -144,21 +144,21 @@
         splitter = EventSplitter()
         async for chunk in exchange.chunks():
             for event in splitter.feed(chunk):
-                await self.pass_event(exchange, event)
+                await self.forward_event(exchange, event)
         await self.turn.before_end()
-        await self.start(exchange)
+        await self.start_reply(exchange)
         if splitter.left:
             await self.reply.write(splitter.left)
         await self.reply.finish()
 
-    async def pass_event(self, exchange: Exchange, event: Event) -> None:
+    async def forward_event(self, exchange: Exchange, event: Event) -> None:
         """Show one event."""
         await self.turn.before_event(event)
-        await self.start(exchange)
+        await self.start_reply(exchange)
         await self.reply.write(event.raw)
         self.last_event = event.id or self.last_event
 
-    async def start(self, exchange: Exchange) -> None:
+    async def start_reply(self, exchange: Exchange) -> None:
         """Show the caller that the stream begins, unless it was shown."""
         if self.reply.started:
             return
--- a/pollenwalk/request/unary.py
+++ b/pollenwalk/request/unary.py
@@ -15,25 +15,25 @@
     """
     sender = CallSender(context, call, call.request.body)
     while True:
-        exchange = await sender.begin()
-        body = await body_or_none(sender, exchange)
+        exchange = await sender.open_exchange()
+        body = await read_body_or_none(sender, exchange)
         if body is not None:
             break
-        if not sender.may_run():
+        if not sender.may_send():
             raise Refusal(
                 RefusalCode.UPSTREAM_FAILED,
                 'the upstream host broke off its answer',
                 Outcome.UNKNOWN,
             )
-    sender.note_run()
+    sender.record_run_time()
     await reply.send_complete(exchange.head.status, exchange.head.headers, body)
 
 
-async def body_or_none(sender: CallSender, exchange: Exchange) -> bytes | None:
+async def read_body_or_none(sender: CallSender, exchange: Exchange) -> bytes | None:
     """Read the body; None where it broke off."""
     try:
         with exchange:
             return await exchange.body()
     except BrokenAnswer as error:
-        sender.broke(exchange.state, error.message)
+        sender.handle_broken_answer(exchange.state, error.message)
         return None
