--- a/pollenwalk/request/program_turn.py
+++ b/pollenwalk/request/program_turn.py
@@ -29,24 +29,24 @@
         self.group = group
         self.metrics = metrics
         self.call = call
-        self.made: list[bytes] = []
+        self.output: list[bytes] = []
         self.tokens = 0
         self.reservation: Reservation | None = None
 
     @property
     def begins_program(self) -> bool:
         """Tell whether nothing was done for the program before."""
-        return self.reservation is not None and not self.reservation.others
+        return self.reservation is not None and not self.reservation.other_tokens
 
     async def prepare(self) -> bytes:
         """Reserve the tokens and put the prompt together."""
         try:
-            return await self.permitted_prompt()
+            return await self.prepare_within_budget()
         except Refusal as refusal:
             program = self.call.request.metadata.program
             raise self.group.returns.advise(refusal, program) from refusal
 
-    async def permitted_prompt(self) -> bytes:
+    async def prepare_within_budget(self) -> bytes:
         """Reserve the tokens while the prompt is put together."""
         if self.call.request.metadata.budget is not None:
             self.reservation = Reservation(
@@ -54,12 +54,12 @@
                 self.call,
                 self.metrics,
             )
-        body = await self.prompt()
+        body = await self.build_prompt()
         if self.reservation is not None:
             await self.reservation.permitted
         return body
 
-    async def prompt(self) -> bytes:
+    async def build_prompt(self) -> bytes:
         """Give the chain's inputs and outputs, then the new input."""
         request = self.call.request
         if not self.call.route.keeps_history or not request.metadata.previous:
@@ -76,18 +76,18 @@
         if event.payload is None:
             return
         if self.reservation is not None and self.reservation.holds_events:
-            await self.require(self.reservation.record_late())
-        self.made.extend((event.payload, b'\n'))
+            await self.await_after_start(self.reservation.wait_until_recorded())
+        self.output.extend((event.payload, b'\n'))
         self.tokens += self.call.tokens_per_event
 
     async def before_end(self) -> None:
         """Have the turn counted and kept before its end is shown."""
         if self.reservation is not None:
-            await self.require(self.reservation.record_late())
+            await self.await_after_start(self.reservation.wait_until_recorded())
         if self.call.route.keeps_history:
-            await self.keep()
+            await self.store_turn()
 
-    async def require(self, work: Awaitable[Any]) -> Any:
+    async def await_after_start(self, work: Awaitable[Any]) -> Any:
         """Wait for what a turn that has begun to run depends on.
 
         Raises:
@@ -96,9 +96,9 @@
         try:
             return await work
         except Refusal as refusal:
-            raise as_unknown(refusal) from refusal
+            raise with_unknown_outcome(refusal) from refusal
 
-    async def keep(self) -> None:
+    async def store_turn(self) -> None:
         """Have the turn kept by enough keepers."""
         metadata = self.call.request.metadata
         record = TurnRecord(
@@ -106,15 +106,15 @@
             program=metadata.program,
             previous=metadata.previous,
             given=self.call.request.body,
-            made=b''.join(self.made),
+            made=b''.join(self.output),
             tokens=self.tokens,
             kept_ms=self.call.route.retention_ms,
             holders=[],
         )
         begun_ms = self.group.clock.now_ms()
         # Copies that were made before count: a record never changes.
-        keeping = self.group.insist(lambda: self.group.keep(record))
-        holders = await self.require(keeping)
+        storing = self.group.insist(lambda: self.group.keep(record))
+        holders = await self.await_after_start(storing)
         took_ms = self.group.clock.now_ms() - begun_ms
         self.metrics.keep_seconds.observe({}, took_ms / MS_PER_SECOND)
         logger.info(
@@ -141,6 +141,6 @@
         )
 
 
-def as_unknown(refusal: Refusal) -> Refusal:
+def with_unknown_outcome(refusal: Refusal) -> Refusal:
     """Say the same of a turn that has begun to run."""
     return Refusal(refusal.code, refusal.message, Outcome.UNKNOWN)
--- a/pollenwalk/request/reservation.py
+++ b/pollenwalk/request/reservation.py
@@ -20,8 +20,8 @@
     Attributes:
         permitted: done once the turn may run.
         recorded: done once a majority of the keepers have it on disk.
-        early: whether less than a majority's word was enough to begin.
-        others: tokens of the program's other turns, as known when this one
+        permitted_early: whether less than a majority's word was enough to begin.
+        other_tokens: tokens of the program's other turns, as known when this one
             was permitted.
     """
 
@@ -36,26 +36,26 @@
         self.metrics = metrics
         self.call = call
         metadata = call.request.metadata
-        self.early = False
-        self.others = 0
-        self.most = metadata.max_tokens
+        self.permitted_early = False
+        self.other_tokens = 0
+        self.max_tokens = metadata.max_tokens
         self.budget = metadata.budget or 0
         self.message = ReserveTokens(
             metadata.program,
             metadata.id,
-            self.most,
+            self.max_tokens,
             call.route.retention_ms,
         )
         loop = asyncio.get_running_loop()
         self.permitted: asyncio.Future[None] = loop.create_future()
-        self.begin()
+        self.start_recording()
 
-    def begin(self) -> None:
+    def start_recording(self) -> None:
         """Have the reservation recorded."""
         self.recorded = asyncio.ensure_future(self.record())
-        self.recorded.add_done_callback(self.pass_on)
+        self.recorded.add_done_callback(self.propagate_result)
 
-    def pass_on(self, recorded: asyncio.Future[None]) -> None:
+    def propagate_result(self, recorded: asyncio.Future[None]) -> None:
         """End whoever waits for the permission as the recording ended."""
         # Also looked at where nobody waits for it any more.
         error = None if recorded.cancelled() else recorded.exception()
@@ -68,7 +68,7 @@
         else:
             self.permitted.set_exception(error)
 
-    async def record_late(self) -> None:
+    async def wait_until_recorded(self) -> None:
         """Wait for the recording of a turn that has begun to run.
 
         Its answer is there or soon will be, so it is better late than cut:
@@ -77,15 +77,15 @@
         Raises:
             Refusal: the budget is spent.
         """
-        await self.group.insist(self.recorded_again)
+        await self.group.insist(self.wait_or_record_again)
 
-    async def recorded_again(self) -> None:
+    async def wait_or_record_again(self) -> None:
         """Wait for the recording; where keepers were silent, begin a new one."""
         try:
             await asyncio.shield(self.recorded)
         except Refusal as refusal:
             if refusal.code == RefusalCode.KEEPERS_UNAVAILABLE:
-                self.begin()
+                self.start_recording()
             raise
 
     @property
@@ -102,13 +102,13 @@
             Refusal: the budget is spent, or too few keepers answer.
         """
         begun_ms = self.group.clock.now_ms()
-        known = await self.ask_majority()
-        verdict = self.judged(known)
-        spent = verdict.shown + self.most > self.budget
-        if not (spent or self.has_headroom(verdict, len(known))):
+        known_entries = await self.ask_majority()
+        verdict = self.decide(known_entries)
+        spent = verdict.shown + self.max_tokens > self.budget
+        if not (spent or self.has_headroom(verdict, len(known_entries))):
             # Whoever reserved at the same time is seen by the second round.
-            known.extend(await self.ask_majority())
-            verdict = self.judged(known)
+            known_entries.extend(await self.ask_majority())
+            verdict = self.decide(known_entries)
         took_ms = self.group.clock.now_ms() - begun_ms
         self.metrics.reserve_seconds.observe({}, took_ms / MS_PER_SECOND)
         logger.info(
@@ -117,52 +117,52 @@
             program=self.message.program,
             budget=self.budget,
             others=verdict.others,
-            most=self.most,
+            most=self.max_tokens,
             fits=verdict.fits,
         )
-        self.others = verdict.others
+        self.other_tokens = verdict.others
         if not verdict.fits:
             raise Refusal(RefusalCode.BUDGET_EXHAUSTED, 'the budget is spent')
 
     async def ask_majority(self) -> list[list[TokenEntry]]:
         """Ask all keepers; give what a majority of complete ones know."""
-        known: list[list[TokenEntry]] = []
-        disks = 0
+        known_entries: list[list[TokenEntry]] = []
+        copies_made = 0
         # The list of keepers may change before they have answered.
         majority = self.group.links.majority
         async for spent in self.group.answers(self.message):
-            disks += 1
-            self.take(spent, known)
-            if len(known) >= majority and disks >= self.group.copies:
-                return known
-        raise keepers_unavailable(f'{len(known)} of {majority} know the budget')
+            copies_made += 1
+            self.add_answer(spent, known_entries)
+            if len(known_entries) >= majority and copies_made >= self.group.copies:
+                return known_entries
+        raise keepers_unavailable(f'{len(known_entries)} of {majority} know the budget')
 
-    def take(self, spent: Spent, known: list[list[TokenEntry]]) -> None:
+    def add_answer(self, spent: Spent, known_entries: list[list[TokenEntry]]) -> None:
         """Take one keeper's word; it may be enough to begin."""
         if not spent.complete:
             return
-        known.append(spent.entries)
+        known_entries.append(spent.entries)
         if self.permitted.done() or not self.group.links.can_decide:
             return
-        verdict = self.judged(known)
-        if self.has_headroom(verdict, len(known)):
-            self.early = True
-            self.others = verdict.others
+        verdict = self.decide(known_entries)
+        if self.has_headroom(verdict, len(known_entries)):
+            self.permitted_early = True
+            self.other_tokens = verdict.others
             self.permitted.set_result(None)
 
-    def judged(self, known: list[list[TokenEntry]]) -> Verdict:
+    def decide(self, known_entries: list[list[TokenEntry]]) -> Verdict:
         """Hold the turn against the budget by what keepers know."""
-        return judge(known, self.call.id, self.most, self.budget)
+        return judge(known_entries, self.call.id, self.max_tokens, self.budget)
 
     def has_headroom(self, verdict: Verdict, answers: int) -> bool:
         """Tell whether the budget bears even turns that are not seen yet."""
         heard = Heard(answers, len(self.group.links.members.by_name))
-        return fits_unseen(verdict, self.most, self.budget, heard)
+        return fits_unseen(verdict, self.max_tokens, self.budget, heard)
 
     @property
     def holds_events(self) -> bool:
         """Tell whether events wait for the recording, or for its failure."""
-        return self.failed or not (self.recorded.done() or self.early)
+        return self.failed or not (self.recorded.done() or self.permitted_early)
 
     def close(self) -> None:
         """Stop waiting."""
