--- a/pollenwalk/policy/host_choice.py
+++ b/pollenwalk/policy/host_choice.py
@@ -11,7 +11,7 @@
 # them keeps several gateways from going the same way at once.
 TIE_MS = 4.0
 # The share by which a full host is slower than an idle one.
-CROWDING = 0.2
+FULL_HOST_SLOWDOWN = 0.2
 
 
 class Candidate(NamedTuple):
@@ -76,14 +76,14 @@
         self, candidates: Iterable[Candidate], cost: CallCost
     ) -> Candidate | None:
         """Compare the expected finish at every host that isn't suspected."""
-        known = list(candidates)
-        trusted = [one for one in known if not one.suspected] or known
+        all_candidates = list(candidates)
+        trusted = [one for one in all_candidates if not one.suspected] or all_candidates
         if not trusted:
             return None
         estimates = [(finish_ms(one, cost), one) for one in trusted]
         best = min(estimate for estimate, _ in estimates)
-        near_best = [one for estimate, one in estimates if estimate <= best + TIE_MS]
-        return self.rng.choice(near_best)
+        near_ties = [one for estimate, one in estimates if estimate <= best + TIE_MS]
+        return self.rng.choice(near_ties)
 
 
 def round_trip_ms(candidate: Candidate) -> float:
@@ -106,9 +106,9 @@
 
 def finish_ms(candidate: Candidate, cost: CallCost) -> float:
     """Estimate way, wait, reading and running at a host."""
-    share = candidate.load / max(candidate.slots, 1)
-    crowding_ms = cost.run_ms * CROWDING * min(share, 1)
-    unread = max(cost.prompt_tokens - candidate.cached_tokens, 0)
-    reading_ms = unread * cost.read_ms_per_token
-    waits_ms = round_trip_ms(candidate) + queue_wait_ms(candidate, cost)
-    return waits_ms + crowding_ms + reading_ms
+    load_share = candidate.load / max(candidate.slots, 1)
+    slowdown_ms = cost.run_ms * FULL_HOST_SLOWDOWN * min(load_share, 1)
+    uncached_tokens = max(cost.prompt_tokens - candidate.cached_tokens, 0)
+    reading_ms = uncached_tokens * cost.read_ms_per_token
+    total_wait_ms = round_trip_ms(candidate) + queue_wait_ms(candidate, cost)
+    return total_wait_ms + slowdown_ms + reading_ms
--- a/pollenwalk/policy/placement.py
+++ b/pollenwalk/policy/placement.py
@@ -71,10 +71,12 @@
     return 0 if host.zone == request.zone else SAME_REGION_ROUND_TRIP_MS
 
 
-def usable(hosts: Sequence[HostView], request: PlacementRequest) -> Sequence[HostView]:
+def without_avoided(
+    hosts: Sequence[HostView], request: PlacementRequest
+) -> Sequence[HostView]:
     """Leave out hosts to be avoided unless no other is left."""
-    fresh = [host for host in hosts if host.sidecar not in request.avoid]
-    return fresh or hosts
+    not_avoided = [host for host in hosts if host.sidecar not in request.avoid]
+    return not_avoided or hosts
 
 
 class ExpectedFinish:
@@ -93,7 +95,7 @@
     ) -> HostView | None:
         """Compare the expected finish at every usable host."""
         return min(
-            usable(hosts, request),
+            without_avoided(hosts, request),
             key=lambda host: (self.finish_ms(host, request), host.sidecar),
             default=None,
         )
@@ -101,10 +103,16 @@
     def finish_ms(self, host: HostView, request: PlacementRequest) -> float:
         """Estimate wait, prefill and path; decoding is the same everywhere."""
         cached = request.cached_tokens.get(host.sidecar, 0)
-        prefill = max(request.prompt_tokens - cached, 0) * request.prefill_ms
-        excess = max(host.estimated_calls + 1 - host.slots, 0)
-        wait = excess * request.expected_decode_ms / max(host.slots, 1)
-        return round_trip_ms(host, request) + wait + prefill * self.prefill_weight
+        uncached_prefill_ms = (
+            max(request.prompt_tokens - cached, 0) * request.prefill_ms
+        )
+        queued = max(host.estimated_calls + 1 - host.slots, 0)
+        queue_wait_ms = queued * request.expected_decode_ms / max(host.slots, 1)
+        return (
+            round_trip_ms(host, request)
+            + queue_wait_ms
+            + uncached_prefill_ms * self.prefill_weight
+        )
 
 
 class RoundRobin:
@@ -112,17 +120,17 @@
 
     def __init__(self) -> None:
         """Start with the first."""
-        self.turn = 0
+        self.position = 0
 
     def choose(
         self, hosts: Sequence[HostView], request: PlacementRequest
     ) -> HostView | None:
         """Pick the next host."""
-        choices = sorted(usable(hosts, request))
+        choices = sorted(without_avoided(hosts, request))
         if not choices:
             return None
-        self.turn += 1
-        return choices[self.turn % len(choices)]
+        self.position += 1
+        return choices[self.position % len(choices)]
 
 
 class LeastLoaded:
@@ -137,7 +145,7 @@
     ) -> HostView | None:
         """Compare the reports as they are."""
         return min(
-            usable(hosts, request),
+            without_avoided(hosts, request),
             key=lambda host: (host.reported_calls, self.rng.random()),
             default=None,
         )
@@ -154,11 +162,11 @@
         self, hosts: Sequence[HostView], request: PlacementRequest
     ) -> HostView | None:
         """Pick the host with the most cached tokens."""
-        choices = usable(hosts, request)
-        holding = [host for host in choices if request.cached_tokens.get(host.sidecar)]
-        if not holding:
+        choices = without_avoided(hosts, request)
+        caching = [host for host in choices if request.cached_tokens.get(host.sidecar)]
+        if not caching:
             return self.fallback.choose(choices, request)
-        return max(holding, key=lambda host: request.cached_tokens[host.sidecar])
+        return max(caching, key=lambda host: request.cached_tokens[host.sidecar])
 
 
 def make_placement(name: str, rng: random.Random) -> Placement:
@@ -171,10 +179,10 @@
     Raises:
         KeyError: there is no such policy.
     """
-    makers: dict[str, Callable[[], Placement]] = {
+    factories: dict[str, Callable[[], Placement]] = {
         'expected-finish': ExpectedFinish,
         'round-robin': RoundRobin,
         'least-loaded': lambda: LeastLoaded(rng),
         'sticky': lambda: Sticky(rng),
     }
-    return makers[name]()
+    return factories[name]()
--- a/pollenwalk/request/call.py
+++ b/pollenwalk/request/call.py
@@ -9,7 +9,7 @@
 from pollenwalk.program.program import FinishedCall
 from pollenwalk.request.stream import TokenStream
 
-MAX_KEY = 200
+MAX_KEY_LENGTH = 200
 MAX_SEQUENCE = 1_000_000
 
 
@@ -32,10 +32,10 @@
     """
     if not request.key:
         raise Refusal(RefusalCode.KEY_MISSING, 'Idempotency-Key is required')
-    if len(request.key) > MAX_KEY:
+    if len(request.key) > MAX_KEY_LENGTH:
         raise Refusal(
             RefusalCode.MALFORMED,
-            f'Idempotency-Key is longer than {MAX_KEY} characters',
+            f'Idempotency-Key is longer than {MAX_KEY_LENGTH} characters',
         )
     if not 1 <= request.sequence <= MAX_SEQUENCE:
         raise Refusal(
--- a/pollenwalk/request/dispatch.py
+++ b/pollenwalk/request/dispatch.py
@@ -46,16 +46,16 @@
         ConnectionLost: the sidecar is gone; the call may have run.
         Refusal: the sidecar's word on the call.
     """
-    answer = await collect(connection.stream(message), call)
+    answer = await collect_answer(connection.stream(message), call)
     if isinstance(answer, NeedHistory):
-        whole = message._replace(base=ROOT, delta=live.program.history.entries)
-        answer = await collect(connection.stream(whole), call)
+        full_message = message._replace(base=ROOT, delta=live.program.history.entries)
+        answer = await collect_answer(connection.stream(full_message), call)
     if not isinstance(answer, Answer):
         raise ConnectionLost('the sidecar ended without an answer')
     return answer
 
 
-async def collect(messages: AsyncIterator[Any], call: LiveCall) -> Any:
+async def collect_answer(messages: AsyncIterator[Any], call: LiveCall) -> Any:
     """Pass tokens on and give the last message."""
     last = None
     async for message in messages:
@@ -69,7 +69,7 @@
 async def follow(connection: Connection, call: LiveCall, boot: str) -> Answer:
     """Attach to a call that a sidecar has."""
     message = Follow(call.id, boot, len(call.stream.texts))
-    answer = await collect(connection.stream(message), call)
+    answer = await collect_answer(connection.stream(message), call)
     if not isinstance(answer, Answer):
         raise ConnectionLost('the sidecar ended without an answer')
     return answer
@@ -85,7 +85,7 @@
         self.boot = boot
 
     async def resolve(
-        self, call: LiveCall, fence: str, until_ms: float
+        self, call: LiveCall, fence: str, give_up_at_ms: float
     ) -> Answer | None:
         """Ask until the sidecar answers or the time is up.
 
@@ -101,9 +101,9 @@
         Raises:
             Refusal: the call failed, or nobody can tell whether it ran.
         """
-        while self.clock.now_ms() < until_ms:
+        while self.clock.now_ms() < give_up_at_ms:
             try:
-                return await self.ask(call, fence)
+                return await self.ask_once(call, fence)
             except ConnectionLost:
                 await self.clock.sleep_ms(RESOLVE_PAUSE_MS)
         raise Refusal(
@@ -112,7 +112,7 @@
             Outcome.UNKNOWN,
         )
 
-    async def ask(self, call: LiveCall, fence: str) -> Answer | None:
+    async def ask_once(self, call: LiveCall, fence: str) -> Answer | None:
         """Ask once; raises `ConnectionLost` when there is no answer."""
         connection = await self.peer.connected()
         if connection.boot != self.boot:
--- a/pollenwalk/request/event_stream.py
+++ b/pollenwalk/request/event_stream.py
@@ -25,17 +25,17 @@
 
     def __init__(self) -> None:
         """Start with nothing."""
-        self.left = b''
+        self.incomplete = b''
 
     def feed(self, chunk: bytes) -> Iterator[Event]:
         """Give the events that a chunk completes."""
-        self.left += chunk
+        self.incomplete += chunk
         while True:
             end = self.end_of_event()
             if not end:
                 return
-            raw = self.left[:end]
-            self.left = self.left[end:]
+            raw = self.incomplete[:end]
+            self.incomplete = self.incomplete[end:]
             yield parse_event(raw)
 
     def end_of_event(self) -> int:
@@ -43,20 +43,20 @@
         ends = (
             position + len(blank)
             for blank in BLANK_LINES
-            if (position := self.left.find(blank)) >= 0
+            if (position := self.incomplete.find(blank)) >= 0
         )
         return min(ends, default=0)
 
 
 def parse_event(raw: bytes) -> Event:
     """Read the fields of one event."""
-    name = ''
+    event_id = ''
     lines: list[bytes] = []
     for line in raw.splitlines():
         field, _, text = line.partition(b':')
         text = text.removeprefix(b' ')
         if field == b'id':
-            name = text.decode('latin-1')
+            event_id = text.decode('latin-1')
         elif field == b'data':
             lines.append(text)
-    return Event(raw, name, b'\n'.join(lines) if lines else None)
+    return Event(raw, event_id, b'\n'.join(lines) if lines else None)
--- a/pollenwalk/request/routing.py
+++ b/pollenwalk/request/routing.py
@@ -38,8 +38,8 @@
 HOME_PAUSE_MS = 50
 FORWARD_TIMEOUT_MS = 10_000
 CLAIM_TIMEOUT_MS = 1000
-OLDER_REGISTRARS = 2
-MOVED = (ConnectionLost, Fenced, HomeUnreachable)
+MAX_OLDER_REGISTRARS = 2
+OWNER_MOVED_ERRORS = (ConnectionLost, Fenced, HomeUnreachable)
 
 
 class Routing:
@@ -144,7 +144,7 @@
         while True:
             try:
                 return await self.claim_once(message)
-            except MOVED as error:
+            except OWNER_MOVED_ERRORS as error:
                 await self.wait_or_give_up(until_ms, error)
 
     async def claim_once(self, message: ClaimKey) -> str:
@@ -177,22 +177,22 @@
         """Settle a key here, after asking who was its registrar before."""
         identity = (message.caller, message.key)
         if identity not in self.home.book.claims:
-            earlier = await self.claimed_before(message)
+            earlier = await self.find_earlier_claim(message)
             message = message._replace(program=earlier or message.program)
         return await self.home.beginnings.claim(*message)
 
-    async def claimed_before(self, message: ClaimKey) -> str:
+    async def find_earlier_claim(self, message: ClaimKey) -> str:
         """Ask the entries that owned the key before this one joined."""
         own = self.directory.records.get(self.incarnation)
         question = message._replace(program='')
-        older = [
+        older_registrars = [
             record
             for record in self.registrars(message)
             if own is not None
             and record.incarnation != self.incarnation
             and record.started_ms <= own.started_ms
         ]
-        for record in older[:OLDER_REGISTRARS]:
+        for record in older_registrars[:MAX_OLDER_REGISTRARS]:
             try:
                 claim = await self.peers(record.address).ask(
                     question,
@@ -231,7 +231,7 @@
             try:
                 async for item in self.call_once(request):
                     yield item
-            except MOVED as error:
+            except OWNER_MOVED_ERRORS as error:
                 grace_ms = self.clock.now_ms() + HOME_PAUSE_MS
                 await self.wait_or_give_up(max(until_ms, grace_ms), error)
                 request = request._replace(offset=0)
@@ -270,7 +270,7 @@
         while True:
             try:
                 return await self.ask_home(program_id, message)
-            except MOVED as error:
+            except OWNER_MOVED_ERRORS as error:
                 await self.wait_or_give_up(until_ms, error)
 
     async def ask_home(self, program_id: str, message: Any) -> View:
--- a/pollenwalk/request/stream.py
+++ b/pollenwalk/request/stream.py
@@ -22,15 +22,15 @@
         known = len(self.texts) - tokens.offset
         if known < 0:
             return
-        fresh = tokens.texts[known:]
-        if fresh:
-            self.texts.extend(fresh)
-            self.wake()
+        new_texts = tokens.texts[known:]
+        if new_texts:
+            self.texts.extend(new_texts)
+            self.wake_followers()
 
     def end(self) -> None:
         """Tell the followers that nothing more comes."""
         self.ended = True
-        self.wake()
+        self.wake_followers()
 
     def restart(self) -> None:
         """Begin again for a new attempt whose tokens may differ."""
@@ -38,7 +38,7 @@
             self.texts = []
             self.attempt += 1
 
-    def wake(self) -> None:
+    def wake_followers(self) -> None:
         """Wake all followers."""
         self.changed.set()
         self.changed = asyncio.Event()
@@ -57,9 +57,9 @@
                     attempt = self.attempt
                     offset = 0
                 if offset < len(self.texts):
-                    fresh = self.texts[offset:]
-                    yield Tokens(offset, fresh)
-                    offset += len(fresh)
+                    new_texts = self.texts[offset:]
+                    yield Tokens(offset, new_texts)
+                    offset += len(new_texts)
                     continue
                 if self.ended:
                     return
--- a/pollenwalk/request/streaming.py
+++ b/pollenwalk/request/streaming.py
@@ -147,8 +147,8 @@
                 await self.forward_event(exchange, event)
         await self.turn.before_end()
         await self.start_reply(exchange)
-        if splitter.left:
-            await self.reply.write(splitter.left)
+        if splitter.incomplete:
+            await self.reply.write(splitter.incomplete)
         await self.reply.finish()
 
     async def forward_event(self, exchange: Exchange, event: Event) -> None:
--- a/test/test_broken.py
+++ b/test/test_broken.py
@@ -63,7 +63,7 @@
 
 
 async def dispatch_unresolved(
-    self: Resolver, call: Any, fence: str, until_ms: float
+    self: Resolver, call: Any, fence: str, give_up_at_ms: float
 ) -> None:
     """Take silence for a proof that the call did not run."""
 
