--- a/standin/experiments/placement.py
+++ b/standin/experiments/placement.py
@@ -127,8 +127,8 @@
     for number, process in enumerate(world.entries.values()):
         policy = make_policy(name, world, random.Random(seed + number))
         process.entry.placement = policy
-        context = process.entry.home.context._replace(placement=policy)
-        process.entry.home.context = context
+        context = process.entry.owner.context._replace(placement=policy)
+        process.entry.owner.context = context
     crossed = world.fabric.map.crossed_bytes
     tally = await drive(world, load, seed)
     fast = [one for one in tally.latency_ms if one <= deadline_ms()]
