--- a/pollenwalk/request/dispatch.py
+++ b/pollenwalk/request/dispatch.py
@@ -93,7 +93,7 @@
             call: the call in question.
             fence: a sealed incarnation whose dispatches must be refused from
                 now on; empty when the asking home made the dispatch itself.
-            until_ms: when to give up, on the process's clock.
+            give_up_at_ms: when to give up, on the process's clock.
 
         Returns:
             The answer, or None when the call is proven not to have run.
