--- a/pollenwalk/policy/__init__.py
+++ b/pollenwalk/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions that may vary: placement, admission and retention."""
+"""Policies that can be exchanged: placement, admission and queueing."""
--- a/pollenwalk/policy/host_choice.py
+++ b/pollenwalk/policy/host_choice.py
@@ -1,16 +1,16 @@
-"""Which upstream host runs a call next: the one expected to finish it first."""
+"""Choice of the upstream host that is expected to finish a call first."""
 
 import random
 from collections.abc import Iterable
 from typing import NamedTuple, Protocol
 
-# The way to a host and back, in ms, where nothing else is known.
+# Assumed round trips to hosts outside the gateway's zone. They are not measured.
 SAME_REGION_ROUND_TRIP_MS = 1.0
 CROSS_REGION_ROUND_TRIP_MS = 60.0
-# Estimates closer than this are as good as equal; choosing at random among
-# them keeps several gateways from going the same way at once.
-TIE_MS = 4.0
-# The share by which a full host is slower than an idle one.
+# Estimates that differ by no more than this count as equal. Choosing at random
+# among them keeps several gateways from choosing the same host at the same time.
+TIE_TOLERANCE_MS = 4.0
+# How much longer a call runs at a full host than at an idle one, as a share.
 FULL_HOST_SLOWDOWN = 0.2
 
 
@@ -18,14 +18,14 @@
     """A host that could run a call.
 
     Attributes:
-        host: its id.
-        slots: calls that it runs at a time.
-        load: calls believed to be there.
-        same_zone: whether it stands in the gateway's zone.
-        same_region: whether it stands in the gateway's region.
-        cached_tokens: of the call's prompt, believed to be in its memory.
-        warm_up_ms: how much longer it is slow.
-        suspected: whether it has just failed.
+        host: id of the host.
+        slots: calls that the host runs at the same time.
+        load: estimated number of calls that run or wait at the host.
+        same_zone: whether the host is in the gateway's zone.
+        same_region: whether the host is in the gateway's region.
+        cached_tokens: estimated tokens of the call's prompt in the host's cache.
+        warm_up_ms: how long the host will still be slow after its start.
+        suspected: whether the host has failed recently.
     """
 
     host: str
@@ -42,9 +42,9 @@
     """What a call costs a host.
 
     Attributes:
-        run_ms: on an idle host.
-        prompt_tokens: to be read where they are not cached.
-        read_ms_per_token: time to read one of them.
+        run_ms: expected run time at an idle host.
+        prompt_tokens: tokens of the prompt; those not cached have to be read.
+        read_ms_per_token: time to read one token of the prompt.
     """
 
     run_ms: float
@@ -53,41 +53,46 @@
 
 
 class HostChoice(Protocol):
-    """A policy that picks a host."""
+    """A policy that chooses a host for a call."""
 
     def choose(
         self, candidates: Iterable[Candidate], cost: CallCost
     ) -> Candidate | None:
-        """Pick one of the candidates; None where there is none."""
+        """Return the chosen candidate, or None if there are no candidates."""
 
 
 class EarliestFinish:
-    """Picks the host that is expected to finish first.
+    """Chooses the host that is expected to finish the call first.
 
-    Answers the load of several gateways that place on the same few hosts,
-    unevenly far away, some of them full.
+    Meant for several gateways that place calls on the same few hosts, which are
+    at different distances and some of which are full.
     """
 
     def __init__(self, rng: random.Random) -> None:
-        """Break ties by `rng`."""
+        """Use `rng` to choose among equal estimates."""
         self.rng = rng
 
     def choose(
         self, candidates: Iterable[Candidate], cost: CallCost
     ) -> Candidate | None:
-        """Compare the expected finish at every host that isn't suspected."""
+        """Return the host with the earliest expected finish.
+
+        Suspected hosts are considered only if all hosts are suspected.
+        """
         all_candidates = list(candidates)
         trusted = [one for one in all_candidates if not one.suspected] or all_candidates
         if not trusted:
             return None
         estimates = [(finish_ms(one, cost), one) for one in trusted]
         best = min(estimate for estimate, _ in estimates)
-        near_ties = [one for estimate, one in estimates if estimate <= best + TIE_MS]
-        return self.rng.choice(near_ties)
+        tied = [
+            one for estimate, one in estimates if estimate <= best + TIE_TOLERANCE_MS
+        ]
+        return self.rng.choice(tied)
 
 
 def round_trip_ms(candidate: Candidate) -> float:
-    """Give the way to a host and back, beyond what the nearest one has."""
+    """Return the assumed extra round trip compared to a host in the same zone."""
     if candidate.same_zone:
         return 0
     return (
@@ -98,14 +103,19 @@
 
 
 def queue_wait_ms(candidate: Candidate, cost: CallCost) -> float:
-    """Estimate the wait for a slot at a host."""
+    """Return the expected wait in ms for a slot at a host."""
     slots = max(candidate.slots, 1)
     queued = max(candidate.load + 1 - slots, 0)
     return queued * cost.run_ms / slots
 
 
 def finish_ms(candidate: Candidate, cost: CallCost) -> float:
-    """Estimate way, wait, reading and running at a host."""
+    """Return an estimate in ms for comparing when hosts would finish a call.
+
+    The sum of the round trip, the wait for a slot, the slowdown by other calls
+    and the reading of uncached tokens. The run time at an idle host is left out,
+    as it is the same everywhere.
+    """
     load_share = candidate.load / max(candidate.slots, 1)
     slowdown_ms = cost.run_ms * FULL_HOST_SLOWDOWN * min(load_share, 1)
     uncached_tokens = max(cost.prompt_tokens - candidate.cached_tokens, 0)
--- a/pollenwalk/policy/placement.py
+++ b/pollenwalk/policy/placement.py
@@ -1,25 +1,27 @@
-"""Which upstream host a call goes to."""
+"""Placement policies: which upstream host an entry sends a call to."""
 
 import random
 from collections.abc import Callable, Sequence
 from typing import NamedTuple, Protocol
 
+# Assumed round trips to hosts outside the entry's zone. They are not measured.
 SAME_REGION_ROUND_TRIP_MS = 1.0
 CROSS_REGION_ROUND_TRIP_MS = 60.0
+# How many times prefill counts, see `ExpectedFinish`.
 PREFILL_WEIGHT = 30.0
 
 
 class HostView(NamedTuple):
-    """What an entry believes of an upstream host.
+    """What an entry knows of an upstream host.
 
     Attributes:
-        sidecar: the sidecar's id.
-        address: where it takes requests.
-        zone: its availability zone.
-        region: its region.
-        slots: calls it runs at a time.
-        reported_calls: calls it had at its last report.
-        estimated_calls: calls it is believed to have now.
+        sidecar: id of the host's sidecar.
+        address: where the sidecar accepts requests.
+        zone: availability zone of the host.
+        region: region of the host.
+        slots: calls that the host runs at the same time.
+        reported_calls: calls running and queued at the host's last report.
+        estimated_calls: calls estimated to run or wait at the host now.
     """
 
     sidecar: str
@@ -32,17 +34,17 @@
 
 
 class PlacementRequest(NamedTuple):
-    """What is to be placed.
+    """A call that is to be placed on a host.
 
     Attributes:
-        program: the program's id.
-        zone: where the entry is.
-        region: where the entry is.
+        program: id of the call's program.
+        zone: availability zone of the entry.
+        region: region of the entry.
         prompt_tokens: tokens of the whole prompt.
-        cached_tokens: prompt tokens known to be cached, by sidecar.
-        expected_decode_ms: expected time of the answer once it runs.
+        cached_tokens: prompt tokens cached at each host, by id of its sidecar.
+        expected_decode_ms: expected time to generate the answer.
         prefill_ms: time to compute one prompt token.
-        avoid: sidecars that have just refused or failed.
+        avoid: ids of sidecars that refused or lost this call before.
     """
 
     program: str
@@ -56,16 +58,16 @@
 
 
 class Placement(Protocol):
-    """A policy that picks an upstream host."""
+    """A policy that chooses an upstream host for a call."""
 
     def choose(
         self, hosts: Sequence[HostView], request: PlacementRequest
     ) -> HostView | None:
-        """Pick one of the hosts; None when there is none to pick."""
+        """Return the chosen host, or None if there are no hosts."""
 
 
 def round_trip_ms(host: HostView, request: PlacementRequest) -> float:
-    """Estimate the way to a host and back."""
+    """Return the assumed round trip between the entry and a host."""
     if host.region != request.region:
         return CROSS_REGION_ROUND_TRIP_MS
     return 0 if host.zone == request.zone else SAME_REGION_ROUND_TRIP_MS
@@ -74,26 +76,26 @@
 def without_avoided(
     hosts: Sequence[HostView], request: PlacementRequest
 ) -> Sequence[HostView]:
-    """Leave out hosts to be avoided unless no other is left."""
+    """Return the hosts that are not to be avoided, or all if none is left."""
     not_avoided = [host for host in hosts if host.sidecar not in request.avoid]
     return not_avoided or hosts
 
 
 class ExpectedFinish:
-    """Pick the host that is expected to finish the call first.
+    """Chooses the host that is expected to finish the call first.
 
-    Prefill counts more than its own time, since what one program computes
-    again all others wait for.
+    Prefill is weighted higher than the time it takes, because all other calls at
+    the host wait while one program's prompt is computed again.
     """
 
     def __init__(self, prefill_weight: float = PREFILL_WEIGHT) -> None:
-        """Count prefill so many times."""
+        """Multiply the time of prefill by `prefill_weight` in the comparison."""
         self.prefill_weight = prefill_weight
 
     def choose(
         self, hosts: Sequence[HostView], request: PlacementRequest
     ) -> HostView | None:
-        """Compare the expected finish at every usable host."""
+        """Return the host with the earliest expected finish."""
         return min(
             without_avoided(hosts, request),
             key=lambda host: (self.finish_ms(host, request), host.sidecar),
@@ -101,7 +103,11 @@
         )
 
     def finish_ms(self, host: HostView, request: PlacementRequest) -> float:
-        """Estimate wait, prefill and path; decoding is the same everywhere."""
+        """Return an estimate in ms for comparing when hosts would finish a call.
+
+        The sum of the round trip, the wait for a slot and the weighted prefill.
+        Decoding is left out, as it takes the same time at every host.
+        """
         cached = request.cached_tokens.get(host.sidecar, 0)
         uncached_prefill_ms = (
             max(request.prompt_tokens - cached, 0) * request.prefill_ms
@@ -116,16 +122,16 @@
 
 
 class RoundRobin:
-    """Take the hosts in turn."""
+    """Chooses the hosts in rotation."""
 
     def __init__(self) -> None:
-        """Start with the first."""
+        """Start the rotation."""
         self.position = 0
 
     def choose(
         self, hosts: Sequence[HostView], request: PlacementRequest
     ) -> HostView | None:
-        """Pick the next host."""
+        """Return the next host in rotation."""
         choices = sorted(without_avoided(hosts, request))
         if not choices:
             return None
@@ -134,16 +140,19 @@
 
 
 class LeastLoaded:
-    """Pick the host with the least reported load."""
+    """Chooses the host with the lowest reported load."""
 
     def __init__(self, rng: random.Random) -> None:
-        """Break ties by `rng`."""
+        """Use `rng` to choose among hosts with equal load."""
         self.rng = rng
 
     def choose(
         self, hosts: Sequence[HostView], request: PlacementRequest
     ) -> HostView | None:
-        """Compare the reports as they are."""
+        """Return the host that reported the fewest calls.
+
+        Calls sent since the last report are not counted.
+        """
         return min(
             without_avoided(hosts, request),
             key=lambda host: (host.reported_calls, self.rng.random()),
@@ -152,16 +161,16 @@
 
 
 class Sticky:
-    """Stay with the host that served the program before."""
+    """Chooses the host that served the program before."""
 
     def __init__(self, rng: random.Random) -> None:
-        """Begin a program where the reported load is least."""
+        """Use `LeastLoaded` for programs that no host has cached tokens of."""
         self.fallback = LeastLoaded(rng)
 
     def choose(
         self, hosts: Sequence[HostView], request: PlacementRequest
     ) -> HostView | None:
-        """Pick the host with the most cached tokens."""
+        """Return the host with the most cached tokens of the program."""
         choices = without_avoided(hosts, request)
         caching = [host for host in choices if request.cached_tokens.get(host.sidecar)]
         if not caching:
@@ -170,14 +179,14 @@
 
 
 def make_placement(name: str, rng: random.Random) -> Placement:
-    """Make the policy of a name.
+    """Return a new placement policy.
 
     Args:
-        name: as in the settings.
-        rng: the process's source of randomness.
+        name: name of the policy as in the settings.
+        rng: random number generator for breaking ties.
 
     Raises:
-        KeyError: there is no such policy.
+        KeyError: there is no policy of this name.
     """
     factories: dict[str, Callable[[], Placement]] = {
         'expected-finish': ExpectedFinish,
--- a/pollenwalk/policy/program_admission.py
+++ b/pollenwalk/policy/program_admission.py
@@ -1,7 +1,8 @@
-"""Whether a new program may begin now, or had better come back.
+"""Program admission: whether a new program may begin under the present load.
 
-Under overload everybody is late if everybody is let in. A program is refused
-before any work is done for it; one that has begun is finished.
+If every program were admitted under overload, all of them would end late. So a
+program is refused before any work is done for it. Programs that have begun are
+not checked again.
 """
 
 import random
@@ -9,56 +10,65 @@
 
 from pollenwalk.policy.placement import HostView
 
+# Waiting calls per slot up to which a program of the middle priority level is
+# admitted by an entry.
 WAITING_PER_SLOT = 1.0
-LEAST_PER_SLOT = 0.25
-MORE_PER_LEVEL = 0.125
+# Lower bound of that number for the least urgent levels.
+MIN_WAITING_PER_SLOT = 0.25
+# Added for each level below the middle one, which is more urgent, and subtracted
+# for each level above it.
+WAITING_PER_LEVEL = 0.125
 MIDDLE_LEVEL = 5
-# The wait that a program of the most urgent class accepts for its first call,
-# as a share of the time within which that call should begin to be answered.
-WAIT_SHARE = 1.0
-# Returns are spread over this part of a caller's time: late enough for room,
-# early enough to be served.
-FIRST_RETURN_SHARE = 0.25
-LAST_RETURN_SHARE = 0.32
+# The longest expected wait for a slot at which a program of the most urgent
+# priority is admitted by a gateway, as a share of the route's target time.
+MAX_WAIT_SHARE = 1.0
+# Retry-After is drawn between these shares of the caller's remaining time: late
+# enough for a slot to become free, early enough to be served before the deadline.
+MIN_RETRY_SHARE = 0.25
+MAX_RETRY_SHARE = 0.32
 
 
 def has_capacity(hosts: Sequence[HostView], level: int) -> bool:
-    """Tell whether an upstream can take one more program.
+    """Return whether an upstream has capacity for one more program.
 
     Args:
         hosts: the upstream's hosts.
-        level: the program's priority class; a lower one finds room for longer.
+        level: the program's priority level; lower levels are admitted at a
+            higher load.
 
     Returns:
-        False when its hosts have too many calls waiting for their slots.
+        False if too many calls wait for slots of the hosts; True if the hosts
+        have no slots at all.
     """
     slots = sum(host.slots for host in hosts)
     if not slots:
         return True
     waiting = sum(max(host.estimated_calls - host.slots, 0) for host in hosts)
-    wished = WAITING_PER_SLOT + MORE_PER_LEVEL * (MIDDLE_LEVEL - level)
-    return waiting < max(wished, LEAST_PER_SLOT) * slots
+    allowed_per_slot = WAITING_PER_SLOT + WAITING_PER_LEVEL * (MIDDLE_LEVEL - level)
+    return waiting < max(allowed_per_slot, MIN_WAITING_PER_SLOT) * slots
 
 
 def is_wait_acceptable(wait_ms: float, target_ms: float, priority: int) -> bool:
-    """Tell whether a program may begin at a gateway that places calls itself.
+    """Return whether a program may begin at a gateway, which places calls itself.
 
-    Answers bursts a little beyond what the hosts can run: where all programs
-    are let in, each of their calls waits and all of them end late.
+    Limits the load in bursts slightly above the capacity of the hosts. If all
+    programs were admitted then, each of their calls would wait and all of them
+    would end late.
 
     Args:
-        wait_ms: expected before a slot is free at the best host.
-        target_ms: within which the first call should be answered.
-        priority: of the route, 0 the most urgent, which waits the longest.
+        wait_ms: expected round trip and wait for a slot at the best host.
+        target_ms: time within which the first call should be answered.
+        priority: priority of the route; 0 is the most urgent and accepts the
+            longest wait.
     """
-    return wait_ms <= target_ms * WAIT_SHARE / (1 + priority)
+    return wait_ms <= target_ms * MAX_WAIT_SHARE / (1 + priority)
 
 
 def retry_delay_ms(remaining_ms: float, rng: random.Random) -> float:
-    """Tell a caller that was turned back when to come again.
+    """Return after how many ms a caller whose program was refused should retry.
 
     Args:
-        remaining_ms: the time that the caller has left.
-        rng: spreads the callers.
+        remaining_ms: time until the caller's deadline.
+        rng: spreads the retries of callers that were refused together.
     """
-    return remaining_ms * rng.uniform(FIRST_RETURN_SHARE, LAST_RETURN_SHARE)
+    return remaining_ms * rng.uniform(MIN_RETRY_SHARE, MAX_RETRY_SHARE)
--- a/pollenwalk/policy/slot_queue.py
+++ b/pollenwalk/policy/slot_queue.py
@@ -1,4 +1,4 @@
-"""Which waiting call an upstream host runs next."""
+"""The queue of calls that wait for a slot of an upstream host."""
 
 import asyncio
 from typing import NamedTuple
@@ -6,19 +6,22 @@
 from pollenwalk.errors import Refusal, RefusalCode
 from pollenwalk.process.clock import Clock
 
+# A waiting call rises by one priority level each time this much time has passed.
 AGING_MS_PER_LEVEL = 10_000
 RETRY_AFTER_MS = 250
 
 
 class WaitingCall(NamedTuple):
-    """A waiting call.
+    """A call in the queue.
+
+    All times are in ms on the sidecar's clock.
 
     Attributes:
-        level: priority class; a lower one goes first.
-        deadline_ms: on the sidecar's clock.
-        program_begun_ms: when the call's program began, on the sidecar's clock.
-        arrived_ms: when it began to wait.
-        admitted: completed when the call may run.
+        level: priority level; lower levels run first.
+        deadline_ms: when the call's deadline passes.
+        program_begun_ms: when the call's program began.
+        arrived_ms: when the call entered the queue.
+        admitted: completed when the call gets a slot.
     """
 
     level: int
@@ -29,9 +32,11 @@
 
 
 def urgency(call: WaitingCall, now_ms: float) -> tuple[float, float, float]:
-    """Order waiting calls: class with aging, then the program that began first.
+    """Return the sort key of a waiting call; the lowest key runs next.
 
-    Calls of programs that have begun so run before those of new programs.
+    Calls are ordered by priority level with aging, then by the start of their
+    program, then by deadline. Within a level, programs that have begun are
+    therefore finished before newer ones.
     """
     waited_ms = now_ms - call.arrived_ms
     level = call.level - waited_ms // AGING_MS_PER_LEVEL
@@ -39,10 +44,17 @@
 
 
 class SlotQueue:
-    """The queue before an upstream host's slots."""
+    """Slots of an upstream host and the queue of calls that wait for one.
+
+    Attributes:
+        slots: calls that may run at the same time.
+        queue_limit: calls that may wait while all slots are taken.
+        running: slots that are taken.
+        waiting: calls that wait for a slot.
+    """
 
     def __init__(self, clock: Clock) -> None:
-        """Start with no slots; the declaration brings them."""
+        """Start without slots; `resize` sets them from the declaration."""
         self.clock = clock
         self.slots = 0
         self.queue_limit = 0
@@ -50,7 +62,7 @@
         self.waiting: list[WaitingCall] = []
 
     def resize(self, slots: int, queue_limit: int) -> None:
-        """Set the number of slots and of places to wait."""
+        """Set the number of slots and the length of the queue."""
         self.slots = slots
         self.queue_limit = queue_limit
         self.fill_slots()
@@ -58,10 +70,16 @@
     async def acquire(
         self, level: int, deadline_ms: float, program_begun_ms: float
     ) -> None:
-        """Wait for a slot.
+        """Wait for a slot and take it.
+
+        Args:
+            level: priority level; lower levels run first.
+            deadline_ms: when to stop waiting, on the sidecar's clock.
+            program_begun_ms: when the call's program began, on the same clock.
 
         Raises:
-            Refusal: the queue is full, or the deadline passed in it.
+            Refusal: the queue is full, the host has no slots, or the deadline
+                passed while waiting.
         """
         full = self.running >= self.slots and len(self.waiting) >= self.queue_limit
         if full or not self.slots:
@@ -89,19 +107,19 @@
             raise
 
     def abandon_wait(self, call: WaitingCall) -> None:
-        """Leave the queue, or the slot when the turn had just come."""
+        """Remove a call from the queue, or free its slot if it just got one."""
         if call in self.waiting:
             self.waiting.remove(call)
         elif call.admitted.done() and not call.admitted.cancelled():
             self.release()
 
     def release(self) -> None:
-        """Free a slot."""
+        """Free a slot and give it to the next waiting call."""
         self.running -= 1
         self.fill_slots()
 
     def fill_slots(self) -> None:
-        """Fill the free slots with the most urgent waiting calls."""
+        """Give free slots to the waiting calls that are most urgent."""
         while self.waiting and self.running < self.slots:
             now_ms = self.clock.now_ms()
             call = min(self.waiting, key=lambda one: urgency(one, now_ms))
--- a/test/policy/test_policies.py
+++ b/test/policy/test_policies.py
@@ -1,4 +1,4 @@
-"""Placement, program admission and the queue for slots, case by case."""
+"""Tests of placement, program admission and the queue for slots."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 
 
 class PlacementCase(NamedTuple):
-    """Hosts, a request, and the host that must be picked."""
+    """Hosts, a request, and the host that must be chosen."""
 
     name: str
     hosts: tuple[HostView, ...]
@@ -26,39 +26,39 @@
 
 
 CASES = (
-    PlacementCase('nobody', (), REQUEST, None),
+    PlacementCase('no hosts', (), REQUEST, None),
     PlacementCase(
-        'the nearer of two idle ones',
+        'nearer of two idle hosts',
         (IDLE._replace(sidecar='b', zone='saguenay'), IDLE),
         REQUEST,
         'a',
     ),
     PlacementCase(
-        'not across the link for nothing',
+        'no host in another region while a near one has a free slot',
         (IDLE._replace(sidecar='b', region='ouest'), IDLE._replace(estimated_calls=3)),
         REQUEST,
         'a',
     ),
     PlacementCase(
-        'where the prefix is cached',
+        'host with the cached prefix',
         (IDLE, IDLE._replace(sidecar='b', zone='saguenay')),
         REQUEST._replace(cached_tokens={'b': 190}),
         'b',
     ),
     PlacementCase(
-        'away from a cached prefix when the wait costs more',
+        'another host if waiting costs more than the prefill',
         (IDLE, IDLE._replace(sidecar='b', estimated_calls=40)),
         REQUEST._replace(cached_tokens={'b': 190}),
         'a',
     ),
     PlacementCase(
-        'around a host that has just refused',
+        'another host than the one that has just refused',
         (IDLE, IDLE._replace(sidecar='b', estimated_calls=9)),
         REQUEST._replace(avoid=frozenset('a')),
         'b',
     ),
     PlacementCase(
-        'back to it when there is no other',
+        'host that has just refused if there is no other',
         (IDLE,),
         REQUEST._replace(avoid=frozenset('a')),
         'a',
@@ -67,7 +67,7 @@
 
 
 class PlacementTest(testtools.TestCase):
-    """Which host a call goes to."""
+    """Placement policies choose a host for a call."""
 
     def test_expected_finish(self) -> None:
         policy = make_placement('expected-finish', random.Random(1))
@@ -75,7 +75,7 @@
             host = policy.choose(case.hosts, case.request)
             self.assertEqual(case.chosen, host.sidecar if host else None, case.name)
 
-    def test_every_policy_picks_one_of_the_hosts(self) -> None:
+    def test_every_policy_chooses_one_of_the_hosts(self) -> None:
         hosts = (IDLE, IDLE._replace(sidecar='b'), IDLE._replace(sidecar='c'))
         for name in ('round-robin', 'least-loaded', 'sticky', 'expected-finish'):
             policy = make_placement(name, random.Random(1))
@@ -84,9 +84,9 @@
 
 
 class ProgramAdmissionTest(testtools.TestCase):
-    """Whether a new program may begin."""
+    """An entry admits programs by the load of the hosts."""
 
-    def test_room_by_load_and_level(self) -> None:
+    def test_capacity_depends_on_load_and_level(self) -> None:
         for calls, level, expected in (
             (0, 5, True),
             (7, 5, True),
@@ -102,24 +102,24 @@
 
 
 class SlotQueueTest(testtools.TestCase):
-    """The queue before the slots."""
+    """The queue of calls that wait for a slot."""
 
     async def acquire_and_note(
         self, slot_queue: SlotQueue, name: str, level: int, program_begun_ms: float
     ) -> None:
-        """Enter and note the name when the turn comes."""
+        """Acquire a slot, then add the name to the order of admission."""
         await slot_queue.acquire(level, 1_000_000, program_begun_ms)
         self.order.append(name)
 
     def make_queue(self, slots: int, queue_limit: int) -> SlotQueue:
-        """Make a queue."""
+        """Return an empty queue and reset the order of admission."""
         self.order: list[str] = []
         slot_queue = SlotQueue(make_clock())
         slot_queue.resize(slots, queue_limit)
         return slot_queue
 
     @virtual
-    async def test_class_then_the_oldest_program(self) -> None:
+    async def test_lower_level_then_older_program_goes_first(self) -> None:
         slot_queue = self.make_queue(1, 10)
         await slot_queue.acquire(5, 1_000_000, 0)
         acquiring = [
@@ -139,7 +139,7 @@
         self.assertEqual(['urgent', 'old', 'young'], self.order)
 
     @virtual
-    async def test_nobody_starves(self) -> None:
+    async def test_waiting_call_is_not_starved(self) -> None:
         slot_queue = self.make_queue(1, 10)
         await slot_queue.acquire(5, 1_000_000, 0)
         waiting = asyncio.ensure_future(self.acquire_and_note(slot_queue, 'low', 7, 0))
@@ -171,7 +171,7 @@
         await waiting
 
     @virtual
-    async def test_deadline_in_the_queue(self) -> None:
+    async def test_deadline_passes_in_queue(self) -> None:
         slot_queue = self.make_queue(1, 5)
         await slot_queue.acquire(5, 1_000_000, 0)
         with testtools.ExpectedException(Refusal):
@@ -179,7 +179,7 @@
         self.assertEqual([], slot_queue.waiting)
 
     @virtual
-    async def test_cancelled_turn_frees_its_slot(self) -> None:
+    async def test_cancelled_call_frees_its_slot(self) -> None:
         slot_queue = self.make_queue(1, 5)
         await slot_queue.acquire(5, 1_000_000, 0)
         waiting = asyncio.ensure_future(self.acquire_and_note(slot_queue, 'gone', 5, 0))
--- a/test/policy/test_program_admission.py
+++ b/test/policy/test_program_admission.py
@@ -1,4 +1,4 @@
-"""A burst of programs, a little beyond what the hosts can run."""
+"""Simulation of a burst of programs slightly above the capacity of the hosts."""
 
 import heapq
 import random
@@ -16,12 +16,13 @@
 TURNS = 3
 TARGET_MS = 300.0
 PRIORITY = 1
-CALLER_MS = 3000.0
-# A program ends in time within so much of its time on idle hosts, and a target.
-TIME_FACTOR = 1.2
-TRIES = 6
-BURST_MS = (3000.0, 8000.0)
-END_MS = 15_000.0
+CALLER_TIMEOUT_MS = 3000.0
+# A program ends in time if it takes no longer than this multiple of its time on
+# idle hosts, plus one target time.
+IN_TIME_FACTOR = 1.2
+MAX_TRIES = 6
+BURST_SPAN_MS = (3000.0, 8000.0)
+LAST_ARRIVAL_MS = 15_000.0
 
 AdmissionRule = Callable[[float], bool]
 Step = Callable[..., None]
@@ -29,12 +30,12 @@
 
 
 class Program(NamedTuple):
-    """One program.
+    """A simulated program.
 
     Attributes:
-        begun_ms: when its caller came first.
-        left: turns that it still has.
-        tries: of its first turn.
+        begun_ms: when its caller first tried to begin it.
+        left: turns that are still to run.
+        tries: refused tries to begin it.
     """
 
     begun_ms: float
@@ -43,125 +44,140 @@
 
 
 class Tally(NamedTuple):
-    """What callers got."""
+    """Number of programs by how they ended."""
 
     in_time: int
     all: int
     refused: int
 
     @property
-    def share(self) -> float:
-        """Give the share of programs that ended in time."""
+    def in_time_share(self) -> float:
+        """Return the share of programs that ended in time."""
         return self.in_time / self.all
 
 
 class Hosts:
-    """Hosts with one queue, and the programs that they serve."""
+    """Simulated hosts with a common queue, and the programs that they run.
+
+    Attributes:
+        rule: returns whether a program is admitted, given the expected wait in ms.
+    """
 
     def __init__(self, rule: AdmissionRule, rng: random.Random) -> None:
-        """Start idle."""
+        """Start with idle hosts."""
         self.rule = rule
         self.rng = rng
         self.running = 0
         self.queue: deque[Program] = deque()
         self.events: list[Event] = []
-        self.number = 0
+        self.sequence = 0
         self.in_time = 0
         self.refused = 0
 
-    def at(self, time_ms: float, step: Step, program: Program) -> None:
-        """Plan a step."""
-        self.number += 1
-        heapq.heappush(self.events, (time_ms, self.number, step, program))
+    def schedule(self, time_ms: float, step: Step, program: Program) -> None:
+        """Schedule a step of a program at a time."""
+        self.sequence += 1
+        heapq.heappush(self.events, (time_ms, self.sequence, step, program))
 
     def run(self, arrivals: list[float]) -> Tally:
-        """Serve all arrivals to the end."""
+        """Run the simulation until all programs have ended or were refused."""
         for time_ms in arrivals:
-            self.at(time_ms, self.first, Program(time_ms))
+            self.schedule(time_ms, self.begin, Program(time_ms))
         while self.events:
             time_ms, _, step, program = heapq.heappop(self.events)
             step(time_ms, program)
         return Tally(self.in_time, len(arrivals), self.refused)
 
-    def first(self, now_ms: float, program: Program) -> None:
-        """Let a program in, or tell it when to come again."""
+    def begin(self, now_ms: float, program: Program) -> None:
+        """Admit a program, or schedule its next try unless it has none left."""
         wait_ms = (len(self.queue) + 1) * RUN_MS / SLOTS if self.queue else 0
         if self.rule(wait_ms):
-            self.turn(now_ms, program)
-        elif program.tries < TRIES:
-            back_ms = now_ms + retry_delay_ms(CALLER_MS, self.rng)
-            self.at(back_ms, self.first, program._replace(tries=program.tries + 1))
+            self.run_turn(now_ms, program)
+        elif program.tries < MAX_TRIES:
+            back_ms = now_ms + retry_delay_ms(CALLER_TIMEOUT_MS, self.rng)
+            self.schedule(
+                back_ms, self.begin, program._replace(tries=program.tries + 1)
+            )
         else:
             self.refused += 1
 
-    def turn(self, now_ms: float, program: Program) -> None:
-        """Run a turn, or queue it."""
+    def run_turn(self, now_ms: float, program: Program) -> None:
+        """Start a turn, or queue it if all slots are taken."""
         if self.running < SLOTS:
             self.running += 1
-            self.at(now_ms + RUN_MS, self.ended, program)
+            self.schedule(now_ms + RUN_MS, self.end_turn, program)
         else:
             self.queue.append(program)
 
-    def ended(self, now_ms: float, program: Program) -> None:
-        """End a turn, and begin the next one that waits."""
+    def end_turn(self, now_ms: float, program: Program) -> None:
+        """End a turn, start the next queued one, and schedule the program's next."""
         self.running -= 1
         if self.queue:
-            self.turn(now_ms, self.queue.popleft())
+            self.run_turn(now_ms, self.queue.popleft())
         left = program.left - 1
         if left:
-            self.at(now_ms + PAUSE_MS, self.turn, program._replace(left=left))
+            self.schedule(now_ms + PAUSE_MS, self.run_turn, program._replace(left=left))
             return
         idle_ms = TURNS * RUN_MS + (TURNS - 1) * PAUSE_MS
         took_ms = now_ms - program.begun_ms
-        self.in_time += took_ms <= idle_ms * TIME_FACTOR + TARGET_MS
+        self.in_time += took_ms <= idle_ms * IN_TIME_FACTOR + TARGET_MS
 
 
 def arrivals(load: float, burst: float, rng: random.Random) -> Iterator[float]:
-    """Draw when programs come, for a share of what the hosts can run."""
+    """Yield random arrival times of programs in ms.
+
+    Args:
+        load: programs begun outside the burst, as a share of the capacity.
+        burst: the same within the burst.
+        rng: draws the times between arrivals.
+    """
     now_ms = 0.0
     capacity = SLOTS / RUN_MS / TURNS
-    while now_ms < END_MS:
-        now_share = burst if BURST_MS[0] <= now_ms < BURST_MS[1] else load
-        now_ms += rng.expovariate(capacity * now_share)
+    while now_ms < LAST_ARRIVAL_MS:
+        load_now = burst if BURST_SPAN_MS[0] <= now_ms < BURST_SPAN_MS[1] else load
+        now_ms += rng.expovariate(capacity * load_now)
         yield now_ms
 
 
 def admit_by_policy(wait_ms: float) -> bool:
-    """Ask the policy."""
+    """Return whether the policy under test admits a program."""
     return is_wait_acceptable(wait_ms, TARGET_MS, PRIORITY)
 
 
 def admit_all(_: float) -> bool:
-    """Let everybody in."""
+    """Admit every program."""
     return True
 
 
 class ProgramAdmissionTest(testtools.TestCase):
-    """Compare what callers get with and without program admission."""
-
-    def play(self, policy: AdmissionRule, load: float, burst: float) -> Tally:
-        """Play the same arrivals with one policy."""
-        found = list(arrivals(load, burst, random.Random(7)))
-        return Hosts(policy, random.Random(8)).run(found)
-
-    def test_a_burst_beyond_capacity(self) -> None:
-        without = self.play(admit_all, 0.4, 1.3)
-        held = self.play(admit_by_policy, 0.4, 1.3)
-        self.assertTrue(held.share > without.share + 0.1, (held, without))
-        self.assertEqual(0, held.refused)
+    """Programs that end in time with and without program admission."""
+
+    def simulate(self, policy: AdmissionRule, load: float, burst: float) -> Tally:
+        """Run the simulation with one policy; all runs have the same arrivals."""
+        arrival_times = list(arrivals(load, burst, random.Random(7)))
+        return Hosts(policy, random.Random(8)).run(arrival_times)
+
+    def test_more_programs_end_in_time_in_a_burst(self) -> None:
+        without_admission = self.simulate(admit_all, 0.4, 1.3)
+        with_admission = self.simulate(admit_by_policy, 0.4, 1.3)
+        self.assertTrue(
+            with_admission.in_time_share > without_admission.in_time_share + 0.1,
+            (with_admission, without_admission),
+        )
+        self.assertEqual(0, with_admission.refused)
 
-    def test_nobody_is_turned_back_below_capacity(self) -> None:
+    def test_no_program_is_refused_below_capacity(self) -> None:
         self.assertEqual(
-            self.play(admit_all, 0.4, 0.8),
-            self.play(admit_by_policy, 0.4, 0.8),
+            self.simulate(admit_all, 0.4, 0.8),
+            self.simulate(admit_by_policy, 0.4, 0.8),
         )
 
-    def test_urgent_programs_wait_longer(self) -> None:
+    def test_urgent_programs_accept_a_longer_wait(self) -> None:
         self.assertTrue(is_wait_acceptable(TARGET_MS, TARGET_MS, 0))
         self.assertFalse(is_wait_acceptable(TARGET_MS, TARGET_MS, 1))
 
-    def test_returns_are_spread_within_the_time_left(self) -> None:
+    def test_retry_delays_are_spread(self) -> None:
         rng = random.Random(1)
-        returns = [retry_delay_ms(CALLER_MS, rng) for _ in range(100)]
-        self.assertTrue(max(returns) <= CALLER_MS / 3)
-        self.assertTrue(max(returns) - min(returns) > CALLER_MS / 20)
+        delays = [retry_delay_ms(CALLER_TIMEOUT_MS, rng) for _ in range(100)]
+        self.assertTrue(max(delays) <= CALLER_TIMEOUT_MS / 3)
+        self.assertTrue(max(delays) - min(delays) > CALLER_TIMEOUT_MS / 20)
