--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of one call: choosing a host, handing over, and pausing between."""
+"""Attempts to run one call: choice of a host, dispatch to it, and back-off."""
 
 from loguru import logger
 
@@ -16,15 +16,24 @@
 
 DEFAULT_MAX_TOKENS = 64
 MAX_ATTEMPTS = 6
+# Pause before the fleet is asked again for a host, and how long it is asked.
 NO_HOST_PAUSE_MS = 100
 NO_HOST_TIMEOUT_MS = 1500
+# How long a host gets no calls after a refusal without a retry time, and after a
+# lost connection.
 REFUSAL_PAUSE_MS = 100
 LOST_HOST_PAUSE_MS = 1000
+# Retry-After of calls that no host accepts or that have no retries left.
 RETRY_AFTER_MS = 500
 
 
 class Attempts:
-    """All attempts of one call."""
+    """The attempts to run one call.
+
+    Attributes:
+        avoided_sidecars: sidecars that refused or lost the call; used as an
+            ordered set.
+    """
 
     def __init__(
         self,
@@ -33,7 +42,7 @@
         call: LiveCall,
         spec: UpstreamSpec,
     ) -> None:
-        """Prepare to try `call` at the upstream that `spec` declares."""
+        """Prepare to run `call` at the upstream that `spec` declares."""
         self.context = context
         self.live = live
         self.call = call
@@ -44,21 +53,22 @@
 
     @property
     def priority(self) -> int:
-        """Give the level of the program's priority class."""
+        """Return the level of the program's priority class."""
         declaration = self.context.config.program(self.program.declaration)
         name = declaration.priority if declaration else ''
         return self.context.config.level(name)
 
     @property
     def message_tokens(self) -> int:
-        """Count the tokens that the call adds to the prompt."""
+        """Return the number of tokens that the call adds to the prompt."""
         return count_tokens(str(self.request.argument.get('message', '')))
 
     async def choose_host(self) -> HostView:
-        """Choose a host, waiting a little when there is none.
+        """Return the host for the next attempt; wait a bounded time for one.
 
         Raises:
-            Refusal: no host is to be had.
+            Fenced: this owner is about to hand its programs over.
+            Refusal: no host accepted work in time; the call did not run.
         """
         give_up_at_ms = self.context.clock.now_ms() + min(
             NO_HOST_TIMEOUT_MS,
@@ -66,11 +76,11 @@
         )
         while True:
             if self.context.recorder.journal.closing:
-                raise Fenced('this home is about to be handed over')
+                raise Fenced('this owner is about to hand its programs over')
             if self.context.clock.now_ms() >= give_up_at_ms:
                 raise Refusal(
                     RefusalCode.NO_UPSTREAM,
-                    f'no host of {self.request.upstream} takes work now',
+                    f'no host of upstream {self.request.upstream} accepts calls now',
                     retry_after_ms=RETRY_AFTER_MS,
                 )
             hosts = self.context.fleet.views(self.request.upstream)
@@ -80,7 +90,7 @@
             await self.context.clock.sleep_ms(NO_HOST_PAUSE_MS)
 
     def placement_request(self) -> PlacementRequest:
-        """Describe the call to the placement policy."""
+        """Return the description of the call for the placement policy."""
         history = self.program.history
         prompt = self.live.history_tokens + self.message_tokens
         max_tokens = self.request.argument.get('max_tokens', DEFAULT_MAX_TOKENS)
@@ -101,7 +111,20 @@
         max_tokens: int,
         connection: Connection | None = None,
     ) -> Answer:
-        """Give the call to a host's sidecar and wait for the answer."""
+        """Dispatch the call to a host's sidecar and wait for the answer.
+
+        Args:
+            host: the host.
+            max_tokens: tokens that the answer may have; 0 for a plain service.
+            connection: to the sidecar; None opens or reuses one.
+
+        Returns:
+            The answer, without the host's load that came with it.
+
+        Raises:
+            ConnectionLost: the sidecar did not answer; the call may have run.
+            Refusal: from the sidecar.
+        """
         if connection is None:
             connection = await self.context.peers(host.address).connected()
         with self.context.tracer.span('dispatch', self.request.trace) as trace:
@@ -125,7 +148,7 @@
         max_tokens: int,
         trace: str,
     ) -> Dispatch:
-        """Build the message, with the part of the history that is missing."""
+        """Build the dispatch, with the history entries that the sidecar lacks."""
         history = self.program.history
         model = self.spec.kind == 'model'
         base = self.live.held.get(host.sidecar, ROOT)
@@ -150,16 +173,22 @@
         )
 
     async def handle_lost_host(self, host: HostView) -> None:
-        """Leave a silent host out and pause before the next attempt."""
+        """Exclude the host that was lost for a while, and back off.
+
+        Raises:
+            Refusal: no retry is left for this caller and upstream.
+        """
         logger.info('host_lost', sidecar=host.sidecar, call=self.call.id)
         self.context.fleet.refused(host.sidecar, LOST_HOST_PAUSE_MS)
         await self.back_off(host)
 
     async def handle_refusal(self, host: HostView, refusal: Refusal) -> None:
-        """Take a proven refusal; go on to another host or give up.
+        """Exclude the host that refused the call for a while, and back off.
+
+        A host that is stopping is excluded as leaving.
 
         Raises:
-            Refusal: the attempts or the retries are used up.
+            Refusal: no attempt is left, or no retry for this caller and upstream.
         """
         if refusal.code == RefusalCode.STOPPING:
             self.context.fleet.leaves(host.sidecar)
@@ -173,11 +202,11 @@
         await self.back_off(host)
 
     def has_attempts_left(self) -> bool:
-        """Tell whether the call may be tried once more."""
+        """Return whether another attempt is allowed."""
         return self.call.attempts < MAX_ATTEMPTS and self.call.remaining_ms() > 0
 
     async def back_off(self, host: HostView) -> None:
-        """Spend a retry and wait with jitter.
+        """Spend a retry of the budget and wait for a random back-off.
 
         Raises:
             Refusal: no retry is left for this caller and upstream.
@@ -190,7 +219,7 @@
         if not budget.spend():
             raise Refusal(
                 RefusalCode.OVERLOADED,
-                f'too many retries towards {self.request.upstream}',
+                f'retry budget for upstream {self.request.upstream} is used up',
                 retry_after_ms=RETRY_AFTER_MS,
             )
         await self.context.clock.sleep_ms(
@@ -198,6 +227,6 @@
         )
 
     def note_cached_history(self, host: HostView) -> None:
-        """Remember what the host's sidecar and engine now hold."""
+        """Note that the host's sidecar and engine now have the whole history."""
         self.live.held[host.sidecar] = self.program.history.digest
         self.live.cached[host.sidecar] = self.live.history_tokens
--- a/pollenwalk/request/dispatch.py
+++ b/pollenwalk/request/dispatch.py
@@ -1,4 +1,4 @@
-"""Handing one call to one sidecar, and asking what became of it."""
+"""Dispatch of one call to one sidecar, and resolution of its outcome."""
 
 from collections.abc import AsyncIterator
 from typing import Any
@@ -23,6 +23,7 @@
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.request.call import LiveCall
 
+# How long one question for an outcome may take, and the pause after a lost one.
 RESOLVE_TIMEOUT_MS = 2000
 RESOLVE_PAUSE_MS = 250
 NOT_RUN_STATE = 'not_run'
@@ -34,17 +35,21 @@
     call: LiveCall,
     message: Dispatch,
 ) -> Answer:
-    """Hand a call over and wait for its answer, passing tokens on.
+    """Dispatch a call and return its answer; append its tokens to its stream.
+
+    If the sidecar lacks the history that `message` builds on, the call is
+    dispatched once more with the whole history.
 
     Args:
         connection: to the sidecar.
         live: the call's program, for its history.
         call: receives the tokens.
-        message: what to hand over.
+        message: the dispatch to send.
 
     Raises:
-        ConnectionLost: the sidecar is gone; the call may have run.
-        Refusal: the sidecar's word on the call.
+        ConnectionLost: the connection ended before the answer; the call may have
+            run.
+        Refusal: the sidecar refused the call, or the call failed there.
     """
     answer = await collect_answer(connection.stream(message), call)
     if isinstance(answer, NeedHistory):
@@ -56,7 +61,7 @@
 
 
 async def collect_answer(messages: AsyncIterator[Any], call: LiveCall) -> Any:
-    """Pass tokens on and give the last message."""
+    """Append tokens to the call's stream and return the last other message."""
     last = None
     async for message in messages:
         if isinstance(message, Tokens):
@@ -67,7 +72,17 @@
 
 
 async def follow(connection: Connection, call: LiveCall, boot: str) -> Answer:
-    """Attach to a call that a sidecar has."""
+    """Attach to a call at a sidecar and return its answer.
+
+    Args:
+        connection: to the sidecar.
+        call: receives the tokens that it does not have yet.
+        boot: id of the start of the sidecar that the call was dispatched to.
+
+    Raises:
+        ConnectionLost: the connection ended before the answer.
+        Refusal: the call failed, or the sidecar does not have it any more.
+    """
     message = Follow(call.id, boot, len(call.stream.texts))
     answer = await collect_answer(connection.stream(message), call)
     if not isinstance(answer, Answer):
@@ -76,10 +91,16 @@
 
 
 class Resolver:
-    """Finds out what became of a dispatched call."""
+    """Resolves the outcome of a dispatched call."""
 
     def __init__(self, peer: Peer, clock: Clock, boot: str) -> None:
-        """Ask the sidecar behind `peer`, as started under `boot`."""
+        """Prepare to ask a sidecar.
+
+        Args:
+            peer: the sidecar.
+            clock: the process's clock.
+            boot: id of the start of the sidecar that the call was dispatched to.
+        """
         self.peer = peer
         self.clock = clock
         self.boot = boot
@@ -90,16 +111,16 @@
         """Ask until the sidecar answers or the time is up.
 
         Args:
-            call: the call in question.
-            fence: a sealed incarnation whose dispatches must be refused from
-                now on; empty when the asking home made the dispatch itself.
+            call: the call whose outcome is wanted.
+            fence: a sealed incarnation whose dispatches the sidecar must refuse
+                from now on; empty if the asking owner made the dispatch itself.
             give_up_at_ms: when to give up, on the process's clock.
 
         Returns:
-            The answer, or None when the call is proven not to have run.
+            The answer, or None if the call is proven not to have run.
 
         Raises:
-            Refusal: the call failed, or nobody can tell whether it ran.
+            Refusal: the call failed, or it is unknown whether it ran.
         """
         while self.clock.now_ms() < give_up_at_ms:
             try:
@@ -113,7 +134,15 @@
         )
 
     async def ask_once(self, call: LiveCall, fence: str) -> Answer | None:
-        """Ask once; raises `ConnectionLost` when there is no answer."""
+        """Ask once for the outcome.
+
+        Returns:
+            The answer, or None if the call is proven not to have run.
+
+        Raises:
+            ConnectionLost: the sidecar did not answer.
+            Refusal: the call failed, or the sidecar has restarted.
+        """
         connection = await self.peer.connected()
         if connection.boot != self.boot:
             raise Refusal(
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -1,8 +1,8 @@
-"""Running one call whose turn has come: choose, hand over, retry, record.
+"""Execution of one call that is next in order: dispatch, retry and record.
 
-A model call may be repeated, so it is tried again elsewhere when a host is
-lost. A non-idempotent call is handed over only after its intent is durable,
-and again only after proof that it did not run.
+A model call may be repeated, so it is tried again at another host when a host is
+lost. A non-idempotent call is dispatched only after its intent is durable, and
+dispatched again only after proof that it did not run.
 """
 
 from pollenwalk.connection.peer import Connection
@@ -35,7 +35,9 @@
 from pollenwalk.request.entry_context import EntryContext
 from pollenwalk.version.resources import ProgramSpec, UpstreamSpec
 
+# How long a call waits for a record that it needs before it is dispatched.
 INTENT_TIMEOUT_MS = 2000
+# How long after the call's deadline its sidecar is still asked for the outcome.
 RESOLVE_GRACE_MS = 5000
 
 
@@ -43,12 +45,12 @@
 
 
 class Execution:
-    """One call's run."""
+    """The execution of one call."""
 
     def __init__(
         self, context: EntryContext, live: LiveProgram, call: LiveCall
     ) -> None:
-        """Prepare to run; the declarations are read now and stay."""
+        """Prepare to run `call`; it keeps the declarations that are in force now."""
         self.context = context
         self.live = live
         self.call = call
@@ -61,10 +63,10 @@
         self.attempts = Attempts(context, live, call, self.spec)
 
     async def run(self) -> FinishedCall:
-        """Run the call to its final answer.
+        """Run the call to its final answer or refusal and record it.
 
         Raises:
-            Refusal: the call did not run and takes no place in the order.
+            Refusal: the call is not recorded and takes no place in the order.
         """
         if not self.context.recorder.journal.fresh:
             await self.confirm_ownership()
@@ -75,12 +77,13 @@
         except Refusal as refusal:
             is_final = refusal.retry_after_ms is None
             if is_final and self.live.may_have_run(self.request):
-                # An earlier try may have run, so the call takes its place.
+                # An earlier attempt may have run, so the call takes its place in
+                # the order.
                 return await self.finish(with_unknown_outcome(refusal), None)
             raise
 
     async def run_repeatable(self) -> FinishedCall:
-        """Run a call that may be repeated, a model's within its budget."""
+        """Run a call that may be repeated; model calls stay within the budget."""
         while True:
             max_tokens = await self.ensure_reserved() if self.is_model else 0
             host = await self.attempts.choose_host()
@@ -90,16 +93,16 @@
 
     @property
     def is_model(self) -> bool:
-        """Tell a model call from one of a plain service."""
+        """Return whether the upstream is a model and not a plain service."""
         return self.spec.kind == 'model'
 
     async def attempt_repeatable(
         self, host: HostView, max_tokens: int
     ) -> CallResult | None:
-        """Hand over once.
+        """Make one attempt at a call that may be repeated.
 
         Returns:
-            How the call ended; None when another attempt is due.
+            The answer or the final refusal; None if another attempt is due.
         """
         try:
             return await self.attempts.dispatch_to(host, max_tokens)
@@ -112,13 +115,10 @@
         return None
 
     async def final_refusal(self, refusal: Refusal, host: HostView) -> Refusal | None:
-        """Decide whether a refusal is final.
-
-        Returns:
-            The refusal, or None when another attempt is due.
+        """Return a refusal if it is final; otherwise back off and return None.
 
         Raises:
-            Refusal: the call did not run and no attempt is left.
+            Refusal: the call did not run, and no attempt or retry is left.
         """
         not_run = refusal.outcome == Outcome.NOT_RUN
         if not not_run:
@@ -132,7 +132,7 @@
         return refusal
 
     async def forfeit_reservation(self) -> None:
-        """Count a lost attempt's reservation as spent."""
+        """Record that the tokens reserved for a lost attempt count as spent."""
         if not self.is_model:
             return
         await self.context.recorder.record(
@@ -142,10 +142,11 @@
         self.call.stream.restart()
 
     async def confirm_ownership(self) -> None:
-        """See that no successor runs this program by now.
+        """Confirm that no successor has taken the program over.
 
         Raises:
-            Refusal: neither the store nor the witnesses answer.
+            Fenced: a successor owns the program.
+            Refusal: neither the store nor the witnesses answered in time.
         """
         try:
             await self.context.recorder.confirm(INTENT_TIMEOUT_MS)
@@ -153,7 +154,10 @@
             raise store_unavailable() from error
 
     async def run_once(self) -> FinishedCall:
-        """Run a non-idempotent call at most once."""
+        """Run a non-idempotent call at most once.
+
+        It is dispatched again only when proven not to have run.
+        """
         if self.program.uncertain:
             return await self.finish(records_lost_refusal(), None)
         while True:
@@ -166,7 +170,7 @@
             await self.attempts.handle_refusal(host, call_result)
 
     async def connect_to_host(self) -> tuple[HostView, Connection]:
-        """Connect to a host; nothing has been handed over if that fails."""
+        """Choose a host and connect to its sidecar; nothing is dispatched yet."""
         while True:
             host = await self.attempts.choose_host()
             try:
@@ -175,7 +179,7 @@
                 await self.attempts.handle_lost_host(host)
 
     async def attempt_once(self, host: HostView, connection: Connection) -> CallResult:
-        """Hand over once; after a lost connection find out what happened."""
+        """Dispatch the call; if the connection is lost, resolve the outcome."""
         try:
             return await self.attempts.dispatch_to(host, 0, connection)
         except ConnectionLost:
@@ -186,7 +190,7 @@
     async def resolve_outcome(
         self, host: HostView, connection: Connection
     ) -> CallResult:
-        """Ask the sidecar what became of a call that was handed to it."""
+        """Ask the sidecar for the outcome of a call that was dispatched to it."""
         resolver = Resolver(
             self.context.peers(host.address),
             self.context.clock,
@@ -200,17 +204,18 @@
         return answer or never_arrived_refusal()
 
     def note_maybe_ran(self) -> None:
-        """Note that a try of this call may have run."""
+        """Note that an attempt of this call may have run."""
         self.live.maybe_ran[self.request.key] = None
 
     async def ensure_reserved(self) -> int:
-        """Make sure that the budget covers the call.
+        """Reserve tokens for the call unless enough are reserved already.
 
         Returns:
             How many tokens the answer may have.
 
         Raises:
-            Refusal: the budget is exhausted.
+            Refusal: the budget is exhausted, or the reservation could not be
+                recorded in time.
         """
         max_answer_tokens = int(
             self.request.argument.get('max_tokens', DEFAULT_MAX_TOKENS)
@@ -219,7 +224,7 @@
         if self.program.budget.left <= self.attempts.message_tokens:
             raise Refusal(
                 RefusalCode.BUDGET_EXHAUSTED,
-                f'{self.program.budget.left} tokens are left',
+                f'the program has {self.program.budget.left} tokens left',
             )
         if self.program.budget.reserved < required_tokens:
             await self.context.recorder.record(
@@ -233,7 +238,7 @@
         )
 
     def build_intent(self, host: HostView, connection: Connection) -> Intended:
-        """Say what is about to be handed over, and to whom."""
+        """Return the record of what is about to be dispatched, and to whom."""
         return Intended(
             self.program.id,
             self.request.key,
@@ -248,11 +253,11 @@
         )
 
     async def record_intent(self, host: HostView, connection: Connection) -> None:
-        """Make the intent durable before the call is handed over.
+        """Make the intent durable before the call is dispatched.
 
         Raises:
-            Refusal: the journal gave no answer in time; nothing was handed
-                over and the intent is withdrawn.
+            Refusal: the journal did not answer in time; nothing was dispatched,
+                and a withdrawal of the intent is recorded later.
         """
         intent = self.build_intent(host, connection)
         try:
@@ -269,7 +274,7 @@
             raise
 
     async def record_withdrawal(self) -> None:
-        """Note that an intent was proven not to have run."""
+        """Record that the call of an intent was proven not to have run."""
         self.call.running = False
         await self.context.recorder.record(
             self.live,
@@ -279,7 +284,12 @@
     async def finish(
         self, call_result: CallResult, host: HostView | None
     ) -> FinishedCall:
-        """Record the final answer or refusal and keep it."""
+        """Record the final answer or refusal and return the finished call.
+
+        Args:
+            call_result: the answer or the refusal.
+            host: where the call ran or was refused; None if it was not dispatched.
+        """
         answer = call_result if isinstance(call_result, Answer) else None
         refusal = call_result if isinstance(call_result, Refusal) else None
         record = Finished(
@@ -304,7 +314,11 @@
         return self.program.finished[self.request.key]
 
     def spent_tokens(self, answer: Answer | None) -> int:
-        """Count what the call has cost; without an answer, all it might."""
+        """Return the tokens that the call has cost.
+
+        A model call without an answer counts with all reserved tokens, as nobody
+        knows how many it has used.
+        """
         if not self.is_model:
             return 0
         if answer is None:
@@ -312,14 +326,14 @@
         return self.attempts.message_tokens + answer.tokens
 
     def next_reservation(self) -> int:
-        """Give what to set aside for the program's next call."""
+        """Return the tokens to reserve for the program's next call."""
         budget = self.program.budget
         if self.is_model:
             return budget.ahead(self.declaration.reserve_tokens)
         return budget.reserved
 
     def history_entries(self, answer: Answer | None) -> list[HistoryItem]:
-        """Give what the call adds to the history."""
+        """Return the entries that the call adds to the program's history."""
         if answer is None:
             return []
         if self.is_model:
@@ -328,12 +342,12 @@
 
 
 def is_proven_not_run(call_result: CallResult) -> bool:
-    """Tell whether a call is proven not to have run."""
+    """Return whether a result proves that the call did not run."""
     return isinstance(call_result, Refusal) and call_result.outcome == Outcome.NOT_RUN
 
 
 def never_arrived_refusal() -> Refusal:
-    """Refuse a call that its sidecar has never seen and never will."""
+    """Return the refusal of a call that its sidecar lacks and will not receive."""
     return Refusal(
         RefusalCode.NO_UPSTREAM,
         'the call never reached the upstream host',
@@ -342,7 +356,10 @@
 
 
 def records_lost_refusal() -> Refusal:
-    """Refuse what may have run before a program's last records were lost."""
+    """Return the refusal of a call that may have run before.
+
+    The program's last records were lost, and its own may have been among them.
+    """
     return Refusal(
         RefusalCode.OUTCOME_UNKNOWN,
         'the last records of this program were lost',
@@ -351,15 +368,15 @@
 
 
 def with_unknown_outcome(refusal: Refusal) -> Refusal:
-    """Give a refusal again without the claim that the call did not run."""
+    """Return a copy of a refusal that leaves open whether the call ran."""
     return Refusal(
         RefusalCode(refusal.code),
-        f'{refusal.message}; an earlier try may have run',
+        f'{refusal.message}; an earlier attempt may have run',
         Outcome.UNKNOWN,
         refusal.retry_after_ms,
     )
 
 
 def is_retryable(refusal: Refusal) -> bool:
-    """Tell whether an idempotent call is worth another attempt."""
+    """Return whether an idempotent call may succeed at another attempt."""
     return refusal.code not in {RefusalCode.MALFORMED, RefusalCode.DEADLINE}
