--- a/pollenwalk/process/upkeep.py
+++ b/pollenwalk/process/upkeep.py
@@ -37,7 +37,7 @@
 
         A sidecar that can't be reached returns it when the lease lapses.
         """
-        pending = list(program.holders)
+        pending = list(program.engine_sidecars)
         for _ in range(RELEASE_ATTEMPTS):
             pending = [
                 address
@@ -69,10 +69,10 @@
     def holdings(self) -> dict[str, list[str]]:
         """Give the running programs by the sidecars that hold for them."""
         holdings: dict[str, list[str]] = {}
-        for program in self.owner.book.programs.values():
+        for program in self.owner.table.programs.values():
             if program.ended:
                 continue
-            for address in program.holders:
+            for address in program.engine_sidecars:
                 holdings.setdefault(address, []).append(program.id)
         return holdings
 
@@ -88,7 +88,7 @@
         while True:
             await self.context.clock.sleep_ms(SWEEP_MS)
             self.owner.drop_claims()
-            for program in list(self.owner.book.programs.values()):
+            for program in list(self.owner.table.programs.values()):
                 await self.sweep_one(program)
 
     async def sweep_one(self, program: Program) -> None:
@@ -98,7 +98,7 @@
         spec = self.context.config.program(program.declaration) or ProgramSpec([])
         try:
             if not program.ended:
-                idle = now_ms - live.used_ms > spec.idle_ms
+                idle = now_ms - live.last_used_ms > spec.idle_ms
                 if not live.calls and (idle or live.is_overdue()):
                     await self.owner.end(program.id)
                 return
--- a/pollenwalk/program/live.py
+++ b/pollenwalk/program/live.py
@@ -1,140 +1,176 @@
-"""A program while its home runs: its lock, its calls and its order."""
+"""A program's state in memory at its owner: its lock and its calls in order."""
 
 import asyncio
 
 from pollenwalk.connection.wire import CallProgram
 from pollenwalk.errors import Outcome, Refusal, RefusalCode
 from pollenwalk.process.clock import Clock
-from pollenwalk.program.history import count_tokens
+from pollenwalk.program.history import estimate_tokens
 from pollenwalk.program.program import Program
 from pollenwalk.request.call import LiveCall
 
+# How long a call waits for an earlier call that has not arrived.
 GAP_WAIT_MS = 5000
 GAP_RETRY_MS = 1000
-MAX_AHEAD = 64
+# How far a call's sequence number may be ahead of the next call in order.
+MAX_SEQUENCES_AHEAD = 64
 
 
 class LiveProgram:
-    """What a home keeps for a program beside its durable state.
-
-    The lock is held from computing a record until it is applied, so records
-    of one program are computed on the state that they change.
+    """What an owner keeps for a program in addition to its durable state.
+
+    The lock is held from computing a record until it is applied, so that a
+    record is computed from the same state that it changes.
+
+    Attributes:
+        program: the durable state.
+        calls: calls that wait or run, by the caller's key.
+        tasks: the tasks of these calls, by the caller's key.
+        sidecar_digests: digest of the history that each sidecar has, by
+            sidecar.
+        cached_tokens: history tokens in the memory of each sidecar's engine,
+            by sidecar.
+        counted_items: history items that `counted_tokens` covers.
+        counted_tokens: estimated tokens of these items.
+        maybe_ran_keys: keys of repeatable calls of which an attempt may have
+            run, as the keys of an ordered set.
+        doubtful_sequence: sequence number of the first call after a takeover;
+            0 if there was none.
+        ending: whether the program is being ended.
+        begun_ms: when this owner began or took over the program.
+        last_used_ms: when a call last arrived or ended.
+        changed: set when a call ends or the program is to end.
     """
 
     def __init__(self, program: Program, clock: Clock) -> None:
-        """Start without calls."""
+        """Start without calls; times are read from `clock`."""
         self.program = program
         self.clock = clock
         self.lock = asyncio.Lock()
         self.calls: dict[str, LiveCall] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
-        self.held: dict[str, str] = {}
-        self.cached: dict[str, int] = {}
-        self.counted = 0
-        self.tokens = 0
-        self.maybe_ran: dict[str, None] = {}
-        self.doubtful = 0
+        self.sidecar_digests: dict[str, str] = {}
+        self.cached_tokens: dict[str, int] = {}
+        self.counted_items = 0
+        self.counted_tokens = 0
+        self.maybe_ran_keys: dict[str, None] = {}
+        self.doubtful_sequence = 0
         self.ending = False
         self.begun_ms = clock.now_ms()
-        self.used_ms = self.begun_ms
+        self.last_used_ms = self.begun_ms
         self.changed = asyncio.Event()
 
     @property
     def history_tokens(self) -> int:
-        """Count the history's tokens, each entry once."""
-        entries = self.program.history.entries
-        fresh = entries[self.counted :]
-        self.tokens += sum(count_tokens(entry.content) for entry in fresh)
-        self.counted = len(entries)
-        return self.tokens
+        """Return the history's estimated tokens; each item is counted once."""
+        history_items = self.program.history.items
+        new_items = history_items[self.counted_items :]
+        self.counted_tokens += sum(estimate_tokens(item.content) for item in new_items)
+        self.counted_items = len(history_items)
+        return self.counted_tokens
 
     def may_have_run(self, request: CallProgram) -> bool:
-        """Tell whether an earlier try of a repeatable call may have run.
+        """Return whether an earlier attempt of a repeatable call may have run.
 
-        A dead home records no try of such a call, so the first call after a
-        takeover is in doubt.
+        Attempts of such calls are not recorded, so after a takeover nobody
+        knows whether the dead owner had tried the first call.
         """
-        return request.key in self.maybe_ran or request.sequence == self.doubtful
+        return (
+            request.key in self.maybe_ran_keys
+            or request.sequence == self.doubtful_sequence
+        )
 
-    def notify(self) -> None:
-        """Wake the calls that wait for their turn."""
+    def notify_waiting_calls(self) -> None:
+        """Wake the calls that wait for earlier ones, so that they check again."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     def admit(self, request: CallProgram) -> None:
-        """Check that a new call has a place in the order.
+        """Check that a new call can take its place in the program's order.
 
         Raises:
-            Refusal: the place is taken, too far ahead, or the program ended.
+            Refusal: the program has ended or exceeded its deadline, or the
+                sequence number is taken or too far ahead.
         """
         program = self.program
         if program.ended or self.ending:
             raise Refusal(RefusalCode.PROGRAM_ENDED, 'the program has ended')
         if self.is_overdue():
-            raise Refusal(RefusalCode.DEADLINE, "the program's time is up")
-        if request.sequence < program.next_sequence or self.waits(request):
+            raise Refusal(RefusalCode.DEADLINE, "the program's deadline has passed")
+        if request.sequence < program.next_sequence or self.is_taken(request):
             raise Refusal(
                 RefusalCode.SEQUENCE_TAKEN,
                 f'another call has sequence {request.sequence}',
             )
-        if request.sequence > program.next_sequence + MAX_AHEAD:
-            raise self.gap(request)
+        if request.sequence > program.next_sequence + MAX_SEQUENCES_AHEAD:
+            raise self.gap_refusal(request)
 
     def is_overdue(self) -> bool:
-        """Tell whether the program's time is up; a takeover starts it anew."""
+        """Return whether the deadline has passed; a takeover starts it again."""
         return self.clock.now_ms() - self.begun_ms > self.program.deadline_ms
 
-    def waits(self, request: CallProgram) -> bool:
-        """Tell whether another call already waits at this place."""
+    def is_taken(self, request: CallProgram) -> bool:
+        """Return whether a call with the same sequence number waits or runs."""
         return any(
             call.request.sequence == request.sequence for call in self.calls.values()
         )
 
-    def gap(self, request: CallProgram) -> Refusal:
-        """Describe a call whose forerunner has not come."""
-        lost = self.program.uncertain
+    def gap_refusal(self, request: CallProgram) -> Refusal:
+        """Make the refusal of a call whose predecessor has not arrived.
+
+        If the program's last records were lost, the call may have run.
+        """
+        may_have_run = self.program.uncertain
         return Refusal(
             RefusalCode.SEQUENCE_GAP,
             f'the next call is number {self.program.next_sequence}, '
             f'not {request.sequence}',
-            Outcome.UNKNOWN if lost else Outcome.NOT_RUN,
+            Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN,
             GAP_RETRY_MS,
         )
 
-    async def take_turn(self, call: LiveCall) -> None:
-        """Wait until all earlier calls have ended.
+    async def wait_for_predecessors(self, call: LiveCall) -> None:
+        """Wait until all earlier calls of the program have ended.
 
         Raises:
-            Refusal: a forerunner did not come in time, or the program ended.
+            Refusal: an earlier call did not arrive within `GAP_WAIT_MS`, the
+                call's deadline has passed, or the program has ended.
         """
         gap_since_ms = self.clock.now_ms()
         while self.program.next_sequence != call.request.sequence:
             self.check_waiting(call)
-            if self.has_forerunner(call):
+            if self.has_predecessor(call):
                 gap_since_ms = self.clock.now_ms()
-            patience_ms = gap_since_ms + GAP_WAIT_MS - self.clock.now_ms()
-            if patience_ms <= 0:
-                raise self.gap(call.request)
-            await self.wait_change(min(patience_ms, call.remaining_ms()))
+            remaining_ms = gap_since_ms + GAP_WAIT_MS - self.clock.now_ms()
+            if remaining_ms <= 0:
+                raise self.gap_refusal(call.request)
+            await self.wait_for_change(min(remaining_ms, call.remaining_ms()))
         self.check_waiting(call)
 
     def check_waiting(self, call: LiveCall) -> None:
-        """Refuse a waiting call whose program ends or whose time is up."""
+        """Check that a waiting call may go on waiting.
+
+        Raises:
+            Refusal: the program has ended, or the call's deadline has passed.
+        """
         if self.ending or self.program.ended:
             raise Refusal(RefusalCode.PROGRAM_ENDED, 'the program has ended')
         if call.remaining_ms() <= 0:
-            raise Refusal(RefusalCode.DEADLINE, 'the deadline passed in order')
+            raise Refusal(
+                RefusalCode.DEADLINE,
+                'the deadline passed while waiting for earlier calls',
+            )
 
-    def has_forerunner(self, call: LiveCall) -> bool:
-        """Tell whether the next call in order is here already."""
+    def has_predecessor(self, call: LiveCall) -> bool:
+        """Return whether the next call in order has arrived and is not `call`."""
         return any(
             other.request.sequence == self.program.next_sequence
             for other in self.calls.values()
             if other is not call
         )
 
-    async def wait_change(self, duration_ms: float) -> None:
-        """Wait for a change, at most so long."""
+    async def wait_for_change(self, duration_ms: float) -> None:
+        """Wait until `changed` is set, but no longer than `duration_ms`."""
         try:
             async with self.clock.timeout_ms(duration_ms):
                 await self.changed.wait()
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -6,7 +6,7 @@
 from pollenwalk.connection.wire import Answer, Dispatch
 from pollenwalk.errors import Fenced, Refusal, RefusalCode
 from pollenwalk.policy.placement import HostView, PlacementRequest
-from pollenwalk.program.history import ROOT, count_tokens
+from pollenwalk.program.history import EMPTY_DIGEST, estimate_tokens
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.request.call import LiveCall
 from pollenwalk.request.dispatch import dispatch
@@ -61,7 +61,7 @@
     @property
     def message_tokens(self) -> int:
         """Return the number of tokens that the call adds to the prompt."""
-        return count_tokens(str(self.request.argument.get('message', '')))
+        return estimate_tokens(str(self.request.argument.get('message', '')))
 
     async def choose_host(self) -> HostView:
         """Return the host for the next attempt; wait a bounded time for one.
@@ -98,8 +98,8 @@
             self.program.id,
             self.context.location.zone,
             self.context.location.region,
-            prompt if history.entries else self.message_tokens,
-            self.live.cached,
+            prompt if history.items else self.message_tokens,
+            self.live.cached_tokens,
             float(max_tokens) * self.spec.decode_ms,
             self.spec.prefill_ms,
             frozenset(self.avoided_sidecars),
@@ -151,10 +151,10 @@
         """Build the dispatch, with the history entries that the sidecar lacks."""
         history = self.program.history
         model = self.spec.kind == 'model'
-        base = self.live.held.get(host.sidecar, ROOT)
+        base = self.live.sidecar_digests.get(host.sidecar, EMPTY_DIGEST)
         delta = history.since(base) if model else []
         if delta is None:
-            base, delta = ROOT, history.entries
+            base, delta = EMPTY_DIGEST, history.items
         return Dispatch(
             self.call.id,
             self.program.id,
@@ -164,7 +164,7 @@
             self.request.argument,
             base,
             list(delta),
-            history.digest if model else ROOT,
+            history.digest if model else EMPTY_DIGEST,
             max_tokens,
             self.priority,
             self.context.clock.now_ms() - self.live.begun_ms,
@@ -228,5 +228,5 @@
 
     def note_cached_history(self, host: HostView) -> None:
         """Note that the host's sidecar and engine now have the whole history."""
-        self.live.held[host.sidecar] = self.program.history.digest
-        self.live.cached[host.sidecar] = self.live.history_tokens
+        self.live.sidecar_digests[host.sidecar] = self.program.history.digest
+        self.live.cached_tokens[host.sidecar] = self.live.history_tokens
--- a/pollenwalk/request/dispatch.py
+++ b/pollenwalk/request/dispatch.py
@@ -12,14 +12,9 @@
     Resolve,
     Tokens,
 )
-from pollenwalk.errors import (
-    ConnectionLost,
-    Outcome,
-    Refusal,
-    RefusalCode,
-)
+from pollenwalk.errors import ConnectionLost, Outcome, Refusal, RefusalCode
 from pollenwalk.process.clock import Clock
-from pollenwalk.program.history import ROOT
+from pollenwalk.program.history import EMPTY_DIGEST
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.request.call import LiveCall
 
@@ -53,7 +48,9 @@
     """
     answer = await collect_answer(connection.stream(message), call)
     if isinstance(answer, NeedHistory):
-        full_message = message._replace(base=ROOT, delta=live.program.history.entries)
+        full_message = message._replace(
+            base=EMPTY_DIGEST, delta=live.program.history.items
+        )
         answer = await collect_answer(connection.stream(full_message), call)
     if not isinstance(answer, Answer):
         raise ConnectionLost('the sidecar ended without an answer')
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -7,19 +7,10 @@
 
 from pollenwalk.connection.peer import Connection
 from pollenwalk.connection.wire import Answer, HistoryItem
-from pollenwalk.errors import (
-    ConnectionLost,
-    Outcome,
-    Refusal,
-    RefusalBody,
-    RefusalCode,
-)
+from pollenwalk.errors import ConnectionLost, Outcome, Refusal, RefusalBody, RefusalCode
 from pollenwalk.policy.placement import HostView
 from pollenwalk.process.recorder import store_unavailable
-from pollenwalk.program.history import (
-    chat_entries,
-    plain_entries,
-)
+from pollenwalk.program.history import chat_history_items, service_history_items
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.program.program import FinishedCall
 from pollenwalk.program.records import (
@@ -205,7 +196,7 @@
 
     def note_maybe_ran(self) -> None:
         """Note that an attempt of this call may have run."""
-        self.live.maybe_ran[self.request.key] = None
+        self.live.maybe_ran_keys[self.request.key] = None
 
     async def ensure_reserved(self) -> int:
         """Reserve tokens for the call unless enough are reserved already.
@@ -300,7 +291,7 @@
             self.request.upstream,
             self.request.operation,
             answer,
-            RefusalBody.of(refusal) if refusal else None,
+            RefusalBody.from_refusal(refusal) if refusal else None,
             self.history_entries(answer),
             self.spent_tokens(answer),
             self.next_reservation(),
@@ -329,7 +320,7 @@
         """Return the tokens to reserve for the program's next call."""
         budget = self.program.budget
         if self.is_model:
-            return budget.ahead(self.declaration.reserve_tokens)
+            return budget.cap_reserve_ahead(self.declaration.reserve_tokens)
         return budget.reserved
 
     def history_entries(self, answer: Answer | None) -> list[HistoryItem]:
@@ -337,8 +328,10 @@
         if answer is None:
             return []
         if self.is_model:
-            return chat_entries(self.request.argument, answer)
-        return plain_entries(self.request.operation, self.request.argument, answer)
+            return chat_history_items(self.request.argument, answer)
+        return service_history_items(
+            self.request.operation, self.request.argument, answer
+        )
 
 
 def is_proven_not_run(call_result: CallResult) -> bool:
--- a/pollenwalk/request/reservation.py
+++ b/pollenwalk/request/reservation.py
@@ -9,7 +9,12 @@
 from pollenwalk.process.copies import keepers_unavailable
 from pollenwalk.process.gateway_metrics import GatewayMetrics
 from pollenwalk.process.keeper_group import KeeperGroup
-from pollenwalk.program.ledger import Heard, Verdict, fits_unseen, judge
+from pollenwalk.program.ledger import (
+    AnswerCount,
+    BudgetDecision,
+    decide_reservation,
+    fits_with_hidden_turns,
+)
 from pollenwalk.program.turns import ReserveTokens, Spent, TokenEntry
 from pollenwalk.request.call_state import Call
 
@@ -103,12 +108,12 @@
         """
         begun_ms = self.group.clock.now_ms()
         known_entries = await self.ask_majority()
-        verdict = self.decide(known_entries)
-        spent = verdict.shown + self.max_tokens > self.budget
-        if not (spent or self.has_headroom(verdict, len(known_entries))):
+        decision = self.decide(known_entries)
+        spent = decision.settled_tokens + self.max_tokens > self.budget
+        if not (spent or self.has_headroom(decision, len(known_entries))):
             # Whoever reserved at the same time is seen by the second round.
             known_entries.extend(await self.ask_majority())
-            verdict = self.decide(known_entries)
+            decision = self.decide(known_entries)
         took_ms = self.group.clock.now_ms() - begun_ms
         self.metrics.reserve_seconds.observe({}, took_ms / MS_PER_SECOND)
         logger.info(
@@ -116,12 +121,12 @@
             request=self.call.id,
             program=self.message.program,
             budget=self.budget,
-            others=verdict.others,
+            others=decision.others,
             most=self.max_tokens,
-            fits=verdict.fits,
+            fits=decision.fits,
         )
-        self.other_tokens = verdict.others
-        if not verdict.fits:
+        self.other_tokens = decision.others
+        if not decision.fits:
             raise Refusal(RefusalCode.BUDGET_EXHAUSTED, 'the budget is spent')
 
     async def ask_majority(self) -> list[list[TokenEntry]]:
@@ -144,20 +149,24 @@
         known_entries.append(spent.entries)
         if self.permitted.done() or not self.group.links.can_decide:
             return
-        verdict = self.decide(known_entries)
-        if self.has_headroom(verdict, len(known_entries)):
+        decision = self.decide(known_entries)
+        if self.has_headroom(decision, len(known_entries)):
             self.permitted_early = True
-            self.other_tokens = verdict.others
+            self.other_tokens = decision.others
             self.permitted.set_result(None)
 
-    def decide(self, known_entries: list[list[TokenEntry]]) -> Verdict:
+    def decide(self, known_entries: list[list[TokenEntry]]) -> BudgetDecision:
         """Hold the turn against the budget by what keepers know."""
-        return judge(known_entries, self.call.id, self.max_tokens, self.budget)
+        return decide_reservation(
+            known_entries, self.call.id, self.max_tokens, self.budget
+        )
 
-    def has_headroom(self, verdict: Verdict, answers: int) -> bool:
+    def has_headroom(self, decision: BudgetDecision, answers: int) -> bool:
         """Tell whether the budget bears even turns that are not seen yet."""
-        heard = Heard(answers, len(self.group.links.members.by_name))
-        return fits_unseen(verdict, self.max_tokens, self.budget, heard)
+        answer_count = AnswerCount(answers, len(self.group.links.members.by_name))
+        return fits_with_hidden_turns(
+            decision, self.max_tokens, self.budget, answer_count
+        )
 
     @property
     def holds_events(self) -> bool:
