--- a/pollenwalk/request/program_turn.py
+++ b/pollenwalk/request/program_turn.py
@@ -25,7 +25,13 @@
         call: Call,
         metrics: GatewayMetrics,
     ) -> None:
-        """Prepare; nothing is reserved yet."""
+        """Prepare a turn of `call`; nothing is reserved yet.
+
+        Args:
+            group: the keepers that hold the program's turns and budget.
+            call: the call that runs the turn.
+            metrics: where the times of keepers' answers are observed.
+        """
         self.group = group
         self.metrics = metrics
         self.call = call
@@ -35,11 +41,16 @@
 
     @property
     def begins_program(self) -> bool:
-        """Tell whether nothing was done for the program before."""
+        """Return whether no other turn of the program has reserved tokens."""
         return self.reservation is not None and not self.reservation.other_tokens
 
     async def prepare(self) -> bytes:
-        """Reserve the tokens and put the prompt together."""
+        """Reserve the turn's tokens and return the request body with the prompt.
+
+        Raises:
+            Refusal: the budget is spent, a previous turn is unknown, or too few
+                keepers answered; with the time of a retry where one is advised.
+        """
         try:
             return await self.prepare_within_budget()
         except Refusal as refusal:
@@ -47,7 +58,7 @@
             raise self.group.returns.advise(refusal, program) from refusal
 
     async def prepare_within_budget(self) -> bytes:
-        """Reserve the tokens while the prompt is put together."""
+        """Reserve the turn's tokens and build the prompt at the same time."""
         if self.call.request.metadata.budget is not None:
             self.reservation = Reservation(
                 self.group,
@@ -60,7 +71,7 @@
         return body
 
     async def build_prompt(self) -> bytes:
-        """Give the chain's inputs and outputs, then the new input."""
+        """Return the inputs and outputs of the previous turns and the new input."""
         request = self.call.request
         if not self.call.route.keeps_history or not request.metadata.previous:
             return request.body
@@ -68,10 +79,13 @@
         return build_prompt(chain, request.body)
 
     async def before_event(self, event: Event) -> None:
-        """Show tokens only once they are counted.
+        """Wait until an event's tokens may be sent to the caller, and count them.
+
+        Far from the budget, one keeper's answer is enough to begin. The end of the
+        stream waits for the other keepers, which usually answer long before it.
 
-        Far from the budget one keeper's disk is enough to begin; the others
-        have it long before the stream ends, which waits for them.
+        Raises:
+            Refusal: the budget is spent; the turn has run.
         """
         if event.payload is None:
             return
@@ -81,17 +95,21 @@
         self.tokens += self.call.tokens_per_event
 
     async def before_end(self) -> None:
-        """Have the turn counted and kept before its end is shown."""
+        """Wait until the turn is counted and stored before the stream is ended.
+
+        Raises:
+            Refusal: the budget is spent; the turn has run.
+        """
         if self.reservation is not None:
             await self.await_after_start(self.reservation.wait_until_recorded())
         if self.call.route.keeps_history:
             await self.store_turn()
 
     async def await_after_start(self, work: Awaitable[Any]) -> Any:
-        """Wait for what a turn that has begun to run depends on.
+        """Wait for `work` on behalf of a turn that has begun to run.
 
         Raises:
-            Refusal: it was not done; the turn has run.
+            Refusal: that of `work`, with an unknown outcome.
         """
         try:
             return await work
@@ -99,7 +117,7 @@
             raise with_unknown_outcome(refusal) from refusal
 
     async def store_turn(self) -> None:
-        """Have the turn kept by enough keepers."""
+        """Store the turn at enough keepers; retry until they confirm it."""
         metadata = self.call.request.metadata
         record = TurnRecord(
             turn=metadata.id,
@@ -111,11 +129,11 @@
             retention_ms=self.call.route.retention_ms,
             replicas=[],
         )
-        begun_ms = self.group.clock.now_ms()
-        # Copies that were made before count: a record never changes.
+        started_ms = self.group.clock.now_ms()
+        # Copies made by an earlier try count, since a record never changes.
         storing = self.group.insist(lambda: self.group.keep(record))
         replicas = await self.await_after_start(storing)
-        took_ms = self.group.clock.now_ms() - begun_ms
+        took_ms = self.group.clock.now_ms() - started_ms
         self.metrics.keep_seconds.observe({}, took_ms / MS_PER_SECOND)
         logger.info(
             'turn_kept',
@@ -126,7 +144,7 @@
         )
 
     def close(self) -> None:
-        """Settle what was shown."""
+        """Cancel the reservation's task and settle the tokens that were sent."""
         if self.reservation is None:
             return
         self.reservation.close()
@@ -142,5 +160,8 @@
 
 
 def with_unknown_outcome(refusal: Refusal) -> Refusal:
-    """Say the same of a turn that has begun to run."""
+    """Return a copy of a refusal that leaves open whether the turn ran.
+
+    It names no retry time.
+    """
     return Refusal(refusal.code, refusal.message, Outcome.UNKNOWN)
--- a/pollenwalk/request/reservation.py
+++ b/pollenwalk/request/reservation.py
@@ -1,4 +1,4 @@
-"""Tokens of a program's budget that are set aside for one turn."""
+"""Reservation of tokens of a program's budget for one turn."""
 
 import asyncio
 
@@ -20,12 +20,13 @@
 
 
 class Reservation:
-    """Tokens set aside for one turn.
+    """Tokens reserved for one turn.
 
     Attributes:
-        permitted: done once the turn may run.
-        recorded: done once a majority of the keepers have it on disk.
-        permitted_early: whether less than a majority's word was enough to begin.
+        permitted: done once the turn may run; fails if it may not.
+        recorded: task that ends once a majority of the keepers have answered and
+            the budget covers the turn; fails if either does not happen.
+        permitted_early: whether the turn was permitted before `recorded` was done.
         other_tokens: tokens of the program's other turns, as known when this one
             was permitted.
     """
@@ -36,7 +37,7 @@
         call: Call,
         metrics: GatewayMetrics,
     ) -> None:
-        """Ask all keepers at once."""
+        """Start to record the reservation at all keepers."""
         self.group = group
         self.metrics = metrics
         self.call = call
@@ -56,13 +57,13 @@
         self.start_recording()
 
     def start_recording(self) -> None:
-        """Have the reservation recorded."""
+        """Start a task that records the reservation."""
         self.recorded = asyncio.ensure_future(self.record())
         self.recorded.add_done_callback(self.propagate_result)
 
     def propagate_result(self, recorded: asyncio.Future[None]) -> None:
-        """End whoever waits for the permission as the recording ended."""
-        # Also looked at where nobody waits for it any more.
+        """Complete `permitted` with the result of the recording."""
+        # The exception is always read, as asyncio reports one that never is.
         error = None if recorded.cancelled() else recorded.exception()
         if self.permitted.done():
             return
@@ -74,10 +75,11 @@
             self.permitted.set_exception(error)
 
     async def wait_until_recorded(self) -> None:
-        """Wait for the recording of a turn that has begun to run.
+        """Wait until the reservation of a turn that has begun to run is recorded.
 
-        Its answer is there or soon will be, so it is better late than cut:
-        the reservation is asked for again until the caller's time is over.
+        The answer of such a turn is ready or soon will be, and a late answer is
+        better than a cut one. So while keepers are unavailable, the recording is
+        repeated until the caller's deadline cancels it.
 
         Raises:
             Refusal: the budget is spent.
@@ -85,7 +87,11 @@
         await self.group.insist(self.wait_or_record_again)
 
     async def wait_or_record_again(self) -> None:
-        """Wait for the recording; where keepers were silent, begin a new one."""
+        """Wait for the recording; start a new one if keepers were unavailable.
+
+        Raises:
+            Refusal: the budget is spent, or too few keepers answered.
+        """
         try:
             await asyncio.shield(self.recorded)
         except Refusal as refusal:
@@ -95,23 +101,23 @@
 
     @property
     def failed(self) -> bool:
-        """Tell whether the recording has ended without a success."""
+        """Return whether the recording has failed or was cancelled."""
         if not self.recorded.done():
             return False
         return self.recorded.cancelled() or self.recorded.exception() is not None
 
     async def record(self) -> None:
-        """Wait until a majority has the reservation, and judge it.
+        """Record the reservation at a majority of the keepers and check the budget.
 
         Raises:
-            Refusal: the budget is spent, or too few keepers answer.
+            Refusal: the budget is spent, or too few keepers answered.
         """
         begun_ms = self.group.clock.now_ms()
         known_entries = await self.ask_majority()
         decision = self.decide(known_entries)
-        spent = decision.settled_tokens + self.max_tokens > self.budget
-        if not (spent or self.has_headroom(decision, len(known_entries))):
-            # Whoever reserved at the same time is seen by the second round.
+        exhausted = decision.settled_tokens + self.max_tokens > self.budget
+        if not (exhausted or self.has_headroom(decision, len(known_entries))):
+            # A second round sees the turns that were reserved during the first.
             known_entries.extend(await self.ask_majority())
             decision = self.decide(known_entries)
         took_ms = self.group.clock.now_ms() - begun_ms
@@ -130,20 +136,32 @@
             raise Refusal(RefusalCode.BUDGET_EXHAUSTED, 'the budget is spent')
 
     async def ask_majority(self) -> list[list[TokenEntry]]:
-        """Ask all keepers; give what a majority of complete ones know."""
+        """Reserve at all keepers and return the entries that a majority know.
+
+        Returns:
+            The entries of each keeper whose records are complete.
+
+        Raises:
+            Refusal: too few keepers answered.
+        """
         known_entries: list[list[TokenEntry]] = []
         copies_made = 0
-        # The list of keepers may change before they have answered.
+        # Read only once, since the list of keepers may change while they answer.
         majority = self.group.links.majority
         async for spent in self.group.answers(self.message):
             copies_made += 1
             self.add_answer(spent, known_entries)
             if len(known_entries) >= majority and copies_made >= self.group.copies:
                 return known_entries
-        raise keepers_unavailable(f'{len(known_entries)} of {majority} know the budget')
+        raise keepers_unavailable(
+            f'{len(known_entries)} of the required {majority} keepers know the budget'
+        )
 
     def add_answer(self, spent: Spent, known_entries: list[list[TokenEntry]]) -> None:
-        """Take one keeper's word; it may be enough to begin."""
+        """Add one keeper's entries; permit the turn if they already suffice.
+
+        Entries of a keeper whose records are incomplete are ignored.
+        """
         if not spent.complete:
             return
         known_entries.append(spent.entries)
@@ -156,13 +174,18 @@
             self.permitted.set_result(None)
 
     def decide(self, known_entries: list[list[TokenEntry]]) -> BudgetDecision:
-        """Hold the turn against the budget by what keepers know."""
+        """Return whether the budget covers the turn, given the keepers' entries."""
         return decide_reservation(
             known_entries, self.call.id, self.max_tokens, self.budget
         )
 
     def has_headroom(self, decision: BudgetDecision, answers: int) -> bool:
-        """Tell whether the budget bears even turns that are not seen yet."""
+        """Return whether the budget also covers turns not seen by these answers.
+
+        Args:
+            decision: what follows from the answers.
+            answers: number of keepers with complete records that answered.
+        """
         answer_count = AnswerCount(answers, len(self.group.links.members.by_name))
         return fits_with_hidden_turns(
             decision, self.max_tokens, self.budget, answer_count
@@ -170,9 +193,13 @@
 
     @property
     def holds_events(self) -> bool:
-        """Tell whether events wait for the recording, or for its failure."""
+        """Return whether the turn's events must wait for the recording.
+
+        They also wait after a failure: `wait_until_recorded` then raises it or
+        records again.
+        """
         return self.failed or not (self.recorded.done() or self.permitted_early)
 
     def close(self) -> None:
-        """Stop waiting."""
+        """Cancel the recording if it still runs."""
         self.recorded.cancel()
