--- a/pollenwalk/request/event_stream.py
+++ b/pollenwalk/request/event_stream.py
@@ -1,4 +1,4 @@
-"""Splits a stream of server-sent events into whole events."""
+"""Splitting of a stream of server-sent events into single events."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -7,12 +7,12 @@
 
 
 class Event(NamedTuple):
-    """One event.
+    """One server-sent event.
 
     Attributes:
-        raw: its bytes, the blank line included.
-        id: empty where it bears none.
-        payload: its data lines, joined by line feeds; None without any.
+        raw: bytes of the event with the blank line that ends it.
+        id: value of the id field; empty if there is none.
+        payload: the data fields joined by line feeds; None if there are none.
     """
 
     raw: bytes
@@ -21,14 +21,18 @@
 
 
 class EventSplitter:
-    """Holds back an event until it is whole."""
+    """Splits chunks of bytes into complete events.
+
+    Attributes:
+        incomplete: bytes received after the last complete event.
+    """
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Start without bytes."""
         self.incomplete = b''
 
     def feed(self, chunk: bytes) -> Iterator[Event]:
-        """Give the events that a chunk completes."""
+        """Add a chunk and yield the events that it completes."""
         self.incomplete += chunk
         while True:
             end = self.end_of_event()
@@ -39,7 +43,7 @@
             yield parse_event(raw)
 
     def end_of_event(self) -> int:
-        """Find where the first event ends; 0 where it isn't whole."""
+        """Return where the first event ends, or 0 if it is incomplete."""
         ends = (
             position + len(blank)
             for blank in BLANK_LINES
@@ -49,7 +53,7 @@
 
 
 def parse_event(raw: bytes) -> Event:
-    """Read the fields of one event."""
+    """Decode the fields of one event."""
     event_id = ''
     lines: list[bytes] = []
     for line in raw.splitlines():
--- a/pollenwalk/request/exchange.py
+++ b/pollenwalk/request/exchange.py
@@ -1,4 +1,4 @@
-"""A host's answer to one call, from its beginning until the host is free."""
+"""One request to an upstream host and its answer, on a pooled connection."""
 
 from collections.abc import AsyncIterator
 from http import HTTPStatus
@@ -13,15 +13,18 @@
 
 
 class Exchange:
-    """Holds a connection; leaving the block before the end cuts it.
+    """A connection to a host while it answers one call.
+
+    As a context manager it gives the connection back to the pool if the answer
+    was read to its end, and closes it otherwise.
 
     Attributes:
-        head: the beginning of the answer, once it is there.
-        whole: whether the answer was read to its end.
+        head: status and headers of the answer, once received.
+        complete: whether the answer was read to its end.
     """
 
     def __init__(self, pool: LinkPool, state: HostState, link: UpstreamLink) -> None:
-        """Take over a connection to a host."""
+        """Use `link`, taken from `pool`, for a call at the host of `state`."""
         self.pool = pool
         self.state = state
         self.link = link
@@ -30,7 +33,7 @@
         self.closed = False
 
     def __enter__(self) -> 'Exchange':
-        """Hold the connection."""
+        """Return this exchange."""
         return self
 
     def __exit__(
@@ -39,11 +42,14 @@
         _error: BaseException | None,
         _trace: TracebackType | None,
     ) -> None:
-        """Free the host."""
+        """Close the exchange."""
         self.close()
 
     def close(self) -> None:
-        """Keep the connection if its answer was read whole, else cut it."""
+        """Reuse or close the connection; the call no longer counts as in flight.
+
+        Only a connection whose answer was read to its end is reused.
+        """
         if self.closed:
             return
         self.closed = True
@@ -55,19 +61,23 @@
 
     @property
     def succeeded(self) -> bool:
-        """Tell whether the answer is a success."""
+        """Return whether the answer's status is a success."""
         return self.head.status in SUCCESSES
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Give the body as it comes.
+        """Yield the body in chunks as they arrive.
 
         Raises:
-            BrokenAnswer: it ended early.
+            BrokenAnswer: the answer broke off.
         """
         async for chunk in self.link.chunks():
             yield chunk
         self.complete = True
 
     async def body(self) -> bytes:
-        """Read the whole body."""
+        """Read and return the whole body.
+
+        Raises:
+            BrokenAnswer: the answer broke off.
+        """
         return b''.join([chunk async for chunk in self.chunks()])
--- a/pollenwalk/request/program_turn.py
+++ b/pollenwalk/request/program_turn.py
@@ -41,7 +41,7 @@
 
     @property
     def begins_program(self) -> bool:
-        """Return whether no other turn of the program has reserved tokens."""
+        """Return whether no other turn of the program has used or reserved tokens."""
         return self.reservation is not None and not self.reservation.other_tokens
 
     async def prepare(self) -> bytes:
--- a/pollenwalk/request/reply.py
+++ b/pollenwalk/request/reply.py
@@ -1,4 +1,4 @@
-"""How a call's answer reaches its caller."""
+"""The interface for sending a call's answer to its caller."""
 
 from typing import Protocol
 
@@ -6,22 +6,22 @@
 
 
 class Reply(Protocol):
-    """The answer to one request.
+    """The answer to one request of a caller.
 
     Attributes:
-        started: whether the caller has got the status.
+        started: whether the status was sent.
     """
 
     started: bool
 
     async def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
-        """Give a complete answer."""
+        """Send a complete answer with its length."""
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Begin an answer whose length isn't known."""
+        """Send status and headers of an answer whose length is not known."""
 
     async def write(self, chunk: bytes) -> None:
-        """Give the next bytes."""
+        """Send the next bytes of the body."""
 
     async def finish(self) -> None:
-        """End the answer as complete; one that isn't finished is cut."""
+        """End the answer as complete; without this, the caller sees it cut."""
--- a/pollenwalk/request/stream.py
+++ b/pollenwalk/request/stream.py
@@ -1,4 +1,4 @@
-"""Tokens of a running call, kept so that followers can join at any offset."""
+"""The tokens of a running call, which followers can read from any offset."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -7,10 +7,18 @@
 
 
 class TokenStream:
-    """An append-only list of tokens with any number of followers."""
+    """A list of tokens that any number of followers read while it grows.
+
+    Attributes:
+        texts: the tokens of the present attempt.
+        attempt: number of times that a new attempt has discarded tokens.
+        ended: whether no more tokens come.
+        followers: number of followers that read now.
+        changed: set, and replaced by a new event, at each change.
+    """
 
     def __init__(self) -> None:
-        """Start empty and open."""
+        """Start without tokens."""
         self.texts: list[str] = []
         self.attempt = 0
         self.ended = False
@@ -18,7 +26,11 @@
         self.changed = asyncio.Event()
 
     def append(self, tokens: Tokens) -> None:
-        """Add tokens; what overlaps with known ones is skipped."""
+        """Append tokens.
+
+        Tokens that overlap with known ones are skipped; all are ignored if their
+        offset leaves a gap.
+        """
         known = len(self.texts) - tokens.offset
         if known < 0:
             return
@@ -28,26 +40,26 @@
             self.wake_followers()
 
     def end(self) -> None:
-        """Tell the followers that nothing more comes."""
+        """End the stream for all followers."""
         self.ended = True
         self.wake_followers()
 
     def restart(self) -> None:
-        """Begin again for a new attempt whose tokens may differ."""
+        """Discard the tokens, since those of a new attempt may differ."""
         if self.texts:
             self.texts = []
             self.attempt += 1
 
     def wake_followers(self) -> None:
-        """Wake all followers."""
+        """Wake the followers to read what has changed."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def follow(self, offset: int) -> AsyncIterator[Tokens]:
-        """Give the tokens from an offset on, as they come.
+        """Yield the tokens from an offset on as they arrive.
 
-        After a new attempt the offset goes back to 0: what the follower has
-        is then replaced by what comes.
+        After a new attempt the tokens start at offset 0 again and replace those
+        yielded before.
         """
         self.followers += 1
         attempt = self.attempt
--- a/pollenwalk/request/streaming.py
+++ b/pollenwalk/request/streaming.py
@@ -1,4 +1,4 @@
-"""Calls whose answers are streams of events, passed on as they come."""
+"""Streaming calls: their events are forwarded to the caller as they arrive."""
 
 from typing import Protocol
 
@@ -14,53 +14,57 @@
 
 
 class Turn(Protocol):
-    """What a stream means to the program that it belongs to."""
+    """The steps that a stream requires for the program that it belongs to."""
 
     @property
     def begins_program(self) -> bool:
-        """Tell whether nothing was done for the program before."""
+        """Return whether the turn begins its program."""
 
     async def prepare(self) -> bytes:
-        """Give the body to send, once the turn may run.
+        """Wait until the turn may run and return the request body to send.
 
         Raises:
-            Refusal: it may not.
+            Refusal: the turn may not run.
         """
 
     async def before_event(self, event: Event) -> None:
-        """Make sure that an event may be shown, and note it."""
+        """Wait until an event may be sent to the caller, and record it.
+
+        Raises:
+            Refusal: the event may not be sent; the turn has run.
+        """
 
     async def before_end(self) -> None:
-        """Make sure that the turn is kept before its end is shown.
+        """Wait until the turn is stored; the end may be sent only then.
 
         Raises:
-            Refusal: it is not.
+            Refusal: the turn was not stored.
         """
 
     def close(self) -> None:
-        """Settle what the turn has used, however it ended."""
+        """Settle the tokens that the turn has used, however it ended."""
 
 
 class StandaloneTurn:
-    """A stream that belongs to no program."""
+    """Implements `Turn` for a stream that belongs to no program."""
 
     def __init__(self, body: bytes) -> None:
-        """Send the caller's body as it is."""
+        """Use the caller's body unchanged."""
         self.body = body
         self.begins_program = False
 
     async def prepare(self) -> bytes:
-        """Give the caller's body."""
+        """Return the caller's body."""
         return self.body
 
     async def before_event(self, event: Event) -> None:
-        """Show every event."""
+        """Allow every event."""
 
     async def before_end(self) -> None:
-        """Keep nothing."""
+        """Do nothing, as the turn is not stored."""
 
     def close(self) -> None:
-        """Settle nothing."""
+        """Do nothing, as no tokens are reserved."""
 
 
 async def run_stream(
@@ -69,11 +73,17 @@
     turn: Turn,
     reply: Reply,
 ) -> None:
-    """Run a call and pass its events on.
+    """Run a streaming call and forward its events to the caller.
+
+    Args:
+        context: what forwarding needs of the process.
+        call: the call.
+        turn: prepares the request and permits each event.
+        reply: the answer to the caller.
 
     Raises:
-        Refusal: there is no complete stream.
-        BrokenAnswer: the stream broke off after its beginning was shown.
+        Refusal: the call was not run or did not complete.
+        BrokenAnswer: the host's answer broke off, and no other host may go on.
     """
     try:
         body = await turn.prepare()
@@ -86,16 +96,16 @@
 
 
 class StreamForwarder:
-    """One stream on its way to the caller.
+    """Forwards the stream of one call to its caller.
 
     Attributes:
-        last_event: id of the last event that was shown.
+        last_event: id of the last event sent to the caller; empty for none.
     """
 
     def __init__(
         self, sender: CallSender, call: Call, turn: Turn, reply: Reply
     ) -> None:
-        """Prepare to pass a stream on."""
+        """Prepare to forward the stream of `call` to `reply`."""
         self.sender = sender
         self.call = call
         self.turn = turn
@@ -103,7 +113,12 @@
         self.last_event = ''
 
     async def run(self) -> None:
-        """Pass the stream on, from several hosts if it may be resumed."""
+        """Forward the stream; if it breaks off, resume it at another host.
+
+        Raises:
+            BrokenAnswer: the stream broke off and may not be resumed.
+            Refusal: no host began to answer, or the turn may not go on.
+        """
         exchange = await self.sender.open_exchange()
         while not await self.forward_answer(exchange):
             exchange = await self.sender.open_exchange(self.last_event)
@@ -112,16 +127,23 @@
             self.sender.record_run_time()
 
     def check_resumed_status(self, exchange: Exchange) -> None:
-        """Refuse to join a failure to a stream that has begun."""
+        """Check that a host that resumes a stream answers with success.
+
+        Raises:
+            BrokenAnswer: it does not, and the caller already has a part.
+        """
         if self.reply.started and not exchange.succeeded:
             exchange.close()
             raise BrokenAnswer(f'resumed with status {exchange.head.status}')
 
     async def forward_answer(self, exchange: Exchange) -> bool:
-        """Pass on what one host gives; False where another may go on.
+        """Forward one host's answer to its end.
+
+        Returns:
+            False if the answer broke off and another host may be tried.
 
         Raises:
-            BrokenAnswer: it broke off and no other host may go on.
+            BrokenAnswer: the answer broke off and no other host may be tried.
         """
         try:
             with exchange:
@@ -135,7 +157,7 @@
         return True
 
     async def forward_exchange(self, exchange: Exchange) -> None:
-        """Pass on a stream, or an answer that is none."""
+        """Forward a stream by events, or an unsuccessful answer in one piece."""
         if not exchange.succeeded:
             body = await exchange.body()
             head = exchange.head
@@ -152,14 +174,14 @@
         await self.reply.finish()
 
     async def forward_event(self, exchange: Exchange, event: Event) -> None:
-        """Show one event."""
+        """Send one event to the caller when the turn permits it."""
         await self.turn.before_event(event)
         await self.start_reply(exchange)
         await self.reply.write(event.raw)
         self.last_event = event.id or self.last_event
 
     async def start_reply(self, exchange: Exchange) -> None:
-        """Show the caller that the stream begins, unless it was shown."""
+        """Send status and headers to the caller unless they are sent already."""
         if self.reply.started:
             return
         context = self.sender.context
--- a/pollenwalk/request/unary.py
+++ b/pollenwalk/request/unary.py
@@ -1,4 +1,4 @@
-"""Calls whose answers are passed on whole."""
+"""Unary calls: each answer is forwarded to the caller when it is complete."""
 
 from pollenwalk.errors import BrokenAnswer, Outcome, Refusal, RefusalCode
 from pollenwalk.request.call_sender import CallSender, ForwardingContext
@@ -8,10 +8,15 @@
 
 
 async def run_unary(context: ForwardingContext, call: Call, reply: Reply) -> None:
-    """Run a call and pass its answer on once it is complete.
+    """Run a call and forward its answer once it is complete.
+
+    Args:
+        context: what forwarding needs of the process.
+        call: the call.
+        reply: the answer to the caller.
 
     Raises:
-        Refusal: there is no complete answer.
+        Refusal: no host gave a complete answer.
     """
     sender = CallSender(context, call, call.request.body)
     while True:
@@ -30,7 +35,7 @@
 
 
 async def read_body_or_none(sender: CallSender, exchange: Exchange) -> bytes | None:
-    """Read the body; None where it broke off."""
+    """Read the body of an answer; return None if it broke off."""
     try:
         with exchange:
             return await exchange.body()
