--- a/pollenwalk/request/__init__.py
+++ b/pollenwalk/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as one request."""
+"""Handling of requests and calls by gateways and entries."""
--- a/pollenwalk/request/call.py
+++ b/pollenwalk/request/call.py
@@ -1,4 +1,4 @@
-"""One call of a program while it is on its way."""
+"""A call of a program while the program's owner handles it."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 
 def request_digest(request: CallProgram) -> str:
-    """Digest what a call asks for; its place in the order is not part."""
+    """Return a digest of what a call asks for, without its sequence number."""
     return digest_json(
         [
             request.upstream,
@@ -25,10 +25,10 @@
 
 
 def check_request(request: CallProgram) -> None:
-    """Check a call's form.
+    """Check the idempotency key and the sequence number of a call.
 
     Raises:
-        Refusal: says which part is wrong; the call did not run.
+        Refusal: one of them is missing or out of range; the call did not run.
     """
     if not request.key:
         raise Refusal(RefusalCode.KEY_MISSING, 'Idempotency-Key is required')
@@ -45,10 +45,19 @@
 
 
 class LiveCall:
-    """A call that waits or runs."""
+    """A call that waits for its turn or runs.
+
+    Attributes:
+        digest: of what the call asks for, to recognise a reused key.
+        deadline_ms: when the caller stops waiting, on the process's clock.
+        stream: the tokens generated so far.
+        attempts: attempts that have failed.
+        running: whether the call is dispatched, and not withdrawn since.
+        done: completed with the recorded result, or fails without a record.
+    """
 
     def __init__(self, request: CallProgram, clock: Clock) -> None:
-        """Start the call's time."""
+        """Start the call; its deadline counts from now."""
         self.request = request
         self.digest = request_digest(request)
         self.deadline_ms = clock.now_ms() + request.deadline_in_ms
@@ -62,21 +71,21 @@
 
     @property
     def id(self) -> str:
-        """Name the call in every hop."""
+        """Return the id that the call has in all processes."""
         return f'{self.request.program}/{self.request.key}'
 
     def remaining_ms(self) -> float:
-        """Give the time left until the deadline."""
+        """Return the time in ms until the deadline; negative after it."""
         return self.deadline_ms - self.clock.now_ms()
 
     def finish(self, finished: FinishedCall) -> None:
-        """Give the final answer to all who wait."""
+        """Complete the call for all who wait for it."""
         if not self.done.done():
             self.done.set_result(finished)
         self.stream.end()
 
     def fail(self, error: Exception) -> None:
-        """Give up without a record: the call has left no trace."""
+        """End the call with an error; no record of it exists."""
         if not self.done.done():
             self.done.set_exception(error)
             self.done.exception()
--- a/pollenwalk/request/call_sender.py
+++ b/pollenwalk/request/call_sender.py
@@ -1,8 +1,8 @@
-"""Sending one call to upstream hosts until one of them begins to answer.
+"""Sending of one call to upstream hosts until one of them begins to answer.
 
-A host that did not run the call is followed by another one. A host that may
-have run it is followed by another one only where the call is idempotent and
-the route allows one more attempt.
+If a host did not run the call, the call is sent to another host. If a host may
+have run it, the call is sent again only if it is idempotent and the route allows
+one more attempt.
 """
 
 import random
@@ -23,17 +23,26 @@
 from pollenwalk.request.exchange import Exchange
 from pollenwalk.request.http_messages import Headers
 
-# A share of the objective within which a refused caller can still come back
-# and be served on time.
+# Share of the route's target time during which hosts that have all refused a call
+# are asked again. A caller that is refused after it can still retry and be served
+# on time.
 REFUSED_HOLD_SHARE = 0.25
-# Pause before hosts that refused are asked again.
+# Pause before hosts that have all refused a call are asked again.
 HOST_RETRY_INTERVAL_MS = 25.0
-# Retry-After where nothing better is known: about one service time.
+# Retry-After of calls that no host accepts: about one service time.
 RETRY_AFTER_MS = 200
 
 
 class ForwardingContext(NamedTuple):
-    """What sending needs of the process."""
+    """The parts of a gateway that forwarding calls needs.
+
+    Attributes:
+        clock: the process's clock.
+        pool: idle connections to hosts.
+        placing: chooses hosts and learns run times.
+        metrics: the gateway's metrics.
+        rng: the process's random number generator.
+    """
 
     clock: Clock
     pool: LinkPool
@@ -43,17 +52,18 @@
 
 
 class CallSender:
-    """The sends of one call.
+    """Sends one call to one host after the other.
 
     Attributes:
-        runs: hosts that have run the call, or may have.
-        sent_ms: time of the last send.
-        waited: whether it met a host that had no free slot.
-        tried: hosts that are not asked again.
+        cost: expected cost of the call, for the choice of a host.
+        runs: number of hosts that have run the call or may have.
+        sent_ms: when the call was last sent, on the process's clock.
+        found_no_free_slot: whether the last host seemed to have no free slot.
+        tried_hosts: ids of the hosts that the call is not sent to again.
     """
 
     def __init__(self, context: ForwardingContext, call: Call, body: bytes) -> None:
-        """Prepare to send `body`."""
+        """Prepare to send `call` with `body`; nothing is sent yet."""
         self.context = context
         self.call = call
         self.body = body
@@ -64,10 +74,11 @@
         self.tried_hosts: set[str] = set()
 
     def check_program_admission(self) -> None:
-        """Turn a program back before any work is done for it.
+        """Refuse a new program if the wait at the best host is too long.
 
         Raises:
-            Refusal: the hosts are too busy for one more program.
+            Refusal: the hosts are too busy for one more program; no work was done
+                for it.
         """
         call = self.call
         placing = self.context.placing
@@ -88,33 +99,38 @@
         self.context.metrics.sent('turned_back')
         raise Refusal(
             RefusalCode.OVERLOADED,
-            f'{call.upstream}: too busy for one more program',
+            f'upstream {call.upstream} is too busy for one more program',
             retry_after_ms=round(retry_after_ms),
         )
 
     def record_run_time(self) -> None:
-        """Learn how long a call that was answered whole has run."""
+        """Record how long the call has run, once its answer is complete.
+
+        A call that may have waited for a slot is left out, so that run times do
+        not include waits.
+        """
         if self.found_no_free_slot:
             return
         run_ms = self.context.clock.now_ms() - self.sent_ms
         self.context.placing.ran(self.call, run_ms)
 
     def may_send(self) -> bool:
-        """Tell whether one more host may run the call."""
+        """Return whether the call may be sent to one more host."""
         if not self.runs:
             return True
         route = self.call.route
         return route.idempotent and self.runs < route.max_attempts
 
     async def open_exchange(self, last_event: str = '') -> Exchange:
-        """Find a host that begins to answer.
+        """Send the call until a host begins to answer, and return the exchange.
 
         Args:
-            last_event: where an interrupted stream goes on; empty for the
-                beginning.
+            last_event: id of the event after which a stream is to be resumed;
+                empty to start from the beginning.
 
         Raises:
-            Refusal: none does.
+            Refusal: no host accepts the call, or the call may have run and may
+                not be sent again.
         """
         while self.may_send():
             state = await self.choose_host()
@@ -131,10 +147,12 @@
         )
 
     async def choose_host(self) -> HostState:
-        """Choose a host; once all have refused, ask them again for a while.
+        """Choose the host for the next try.
+
+        Once all hosts have been tried, they are tried again for a limited time.
 
         Raises:
-            Refusal: no host takes the call.
+            Refusal: no host accepts the call.
         """
         clock = self.context.clock
         target_ms = self.call.route.target_ms
@@ -152,26 +170,26 @@
             self.tried_hosts.clear()
 
     def no_host_refusal(self) -> Refusal:
-        """Refuse a call that no host takes."""
+        """Return the refusal of a call that no host accepts."""
         if self.runs:
             return Refusal(
                 RefusalCode.UPSTREAM_FAILED,
-                'no other upstream host takes the call',
+                'no other upstream host accepts the call',
                 Outcome.UNKNOWN,
             )
         code = RefusalCode.OVERLOADED if self.tried_hosts else RefusalCode.NO_UPSTREAM
         return Refusal(
             code,
-            f'{self.call.upstream}: no host takes the call',
+            f'no host of upstream {self.call.upstream} accepts the call',
             retry_after_ms=RETRY_AFTER_MS,
         )
 
     async def send_to_host(self, state: HostState, last_event: str) -> Exchange:
-        """Send to one host and wait for the beginning of its answer.
+        """Send the call to one host and wait for the head of its answer.
 
         Raises:
             NotSent: the host did not run the call.
-            BrokenAnswer: the host may have run the call.
+            BrokenAnswer: the host may have run the call but gave no valid head.
         """
         self.sent_ms = self.context.clock.now_ms()
         self.found_no_free_slot = state.load(self.sent_ms) >= state.listed.slots
@@ -190,7 +208,13 @@
         return exchange
 
     async def send_request(self, exchange: Exchange, last_event: str) -> None:
-        """Send on one connection and read the beginning of the answer."""
+        """Send the request on one connection and read the head of the answer.
+
+        Raises:
+            NotSent: the connection had ended, or the host refused the request.
+            BrokenAnswer: the answer broke off, is not signed by a host, or has an
+                encoded body.
+        """
         request = self.call.request
         state = exchange.state
         self.log_send(state)
@@ -210,11 +234,13 @@
             await exchange.body()
             raise NotSent(f'refused with status {head.status}')
         if not head.signed or head.encoded:
-            raise BrokenAnswer(f'status {head.status} without a signature')
+            raise BrokenAnswer(
+                f'answer with status {head.status} is unsigned or encoded'
+            )
         self.context.metrics.sent('answered')
 
     def log_send(self, state: HostState) -> None:
-        """Log which host was chosen and what that rested on."""
+        """Log the chosen host and the load that it was chosen by."""
         now_ms = self.context.clock.now_ms()
         logger.info(
             'sent',
@@ -227,7 +253,7 @@
         )
 
     def build_headers(self, state: HostState, last_event: str) -> Headers:
-        """Write the headers for one host."""
+        """Return the caller's headers with those added for one host."""
         remaining_ms = self.call.remaining_ms(self.context.clock.now_ms())
         added = added_headers(state.listed.id, remaining_ms, None)
         request_headers = self.call.request.headers
@@ -238,7 +264,7 @@
         return [*request_headers, *added]
 
     def handle_not_run(self, state: HostState, reason: str) -> None:
-        """Note a host that did not run the call."""
+        """Exclude a host that did not run the call."""
         self.tried_hosts.add(state.listed.id)
         self.context.placing.bounced(state, reason)
         self.context.metrics.sent('not_run')
@@ -250,7 +276,7 @@
         )
 
     def handle_broken_answer(self, state: HostState, reason: str) -> None:
-        """Note a host that may have run the call and gave no answer."""
+        """Exclude a host that may have run the call but gave no valid answer."""
         self.tried_hosts.add(state.listed.id)
         state.failed(self.context.clock.now_ms())
         self.context.metrics.sent('broken')
--- a/pollenwalk/request/call_state.py
+++ b/pollenwalk/request/call_state.py
@@ -1,24 +1,25 @@
-"""One caller's call while the gateway works on it."""
+"""A caller's call while the gateway handles it."""
 
 from typing import NamedTuple
 
 from pollenwalk.request.http_messages import Request
 from pollenwalk.version.routes import Route
 
-# The least that is left of a caller's time once an answer has to travel.
+# Subtracted from the deadline so that an answer can still reach the caller.
 ANSWER_DELAY_MS = 5.0
 
 
 class Call(NamedTuple):
-    """A request with the route that was in force when it came.
+    """A request with the route that was in force when it arrived.
 
     Attributes:
-        request: as the caller sent it.
-        route: that it takes.
-        upstream: of the route's upstreams, the one it goes to.
-        version: of the configuration.
-        deadline_at_ms: when the caller or the route stops waiting.
-        tokens_per_event: what an event of its stream counts for.
+        request: the request as the caller sent it.
+        route: the route that matches the request.
+        upstream: name of the route's upstream that was chosen for the call.
+        version: version of the configuration that has the route.
+        deadline_at_ms: when the caller or the route stops waiting, on the
+            process's clock.
+        tokens_per_event: tokens that one event of the stream counts for.
     """
 
     request: Request
@@ -30,16 +31,20 @@
 
     @property
     def id(self) -> str:
-        """Give the id of the request."""
+        """Return the id of the request."""
         return self.request.metadata.id
 
     def remaining_ms(self, now_ms: float) -> float:
-        """Give the time that is left."""
+        """Return the time in ms until the deadline; negative after it."""
         return self.deadline_at_ms - now_ms
 
 
 def call_deadline_ms(request: Request, route: Route) -> float:
-    """Give the earlier end of the caller's and of the route's time."""
+    """Return the deadline on the process's clock.
+
+    It is the earlier one of the caller's and the route's, less the time that the
+    answer needs to reach the caller.
+    """
     deadline_ms = request.metadata.deadline_ms
     remaining_ms = route.timeout_ms if deadline_ms is None else deadline_ms
     return request.arrived_ms + min(remaining_ms, route.timeout_ms) - ANSWER_DELAY_MS
--- a/pollenwalk/request/entry_context.py
+++ b/pollenwalk/request/entry_context.py
@@ -1,4 +1,4 @@
-"""What an entry gives the code that runs calls."""
+"""The parts of an entry that running a program's calls needs."""
 
 import random
 from typing import NamedTuple
@@ -14,7 +14,21 @@
 
 
 class EntryContext(NamedTuple):
-    """What an entry gives the code that runs calls."""
+    """The parts of an entry that running a program's calls needs.
+
+    Attributes:
+        incarnation: id of this start of the entry.
+        clock: the process's clock.
+        rng: the process's random number generator.
+        location: zone and region of the entry.
+        config: the declarations in force.
+        fleet: the upstream hosts and their load.
+        peers: returns the peer at an address.
+        placement: the policy that chooses a host.
+        retries: the retry budgets.
+        recorder: writes records to the journal and applies them.
+        tracer: makes the spans of calls.
+    """
 
     incarnation: str
     clock: Clock
--- a/pollenwalk/request/http_messages.py
+++ b/pollenwalk/request/http_messages.py
@@ -1,4 +1,4 @@
-"""A caller's request, decoded, and what its answer may say."""
+"""The decoded request of a caller and the head of an upstream host's answer."""
 
 from typing import NamedTuple
 
@@ -6,28 +6,35 @@
 
 
 class PromptPart(NamedTuple):
-    """A part of a prompt that several requests may share."""
+    """A part of a prompt that several requests may share.
+
+    Attributes:
+        id: identifies the part in all requests that share it.
+        tokens: number of tokens of the part.
+    """
 
     id: str
     tokens: int
 
 
 class RequestMetadata(NamedTuple):
-    """What a request says of itself.
+    """What the headers of a request say about it.
 
     Attributes:
-        id: of this attempt of the caller; every attempt has its own.
-        deadline_ms: how long the caller waits; None where it doesn't say.
-        program: the program that the request belongs to; empty for none.
-        session: the line of turns within the program.
-        program_remaining_ms: time until the whole program should be done.
-        budget: tokens that all turns of the program may generate.
-        prompt_tokens: of the whole prompt.
-        max_tokens: the most that this turn generates.
-        expected_tokens: the caller's guess of what it generates.
-        prompt_parts: of the prompt, in order.
-        previous: the turn that this one continues; empty for none.
-        resumes: whether it goes on with an interrupted stream.
+        id: id of the request; a caller uses a new one for each attempt.
+        deadline_ms: how long the caller waits; None if not stated.
+        program: id of the program that the request belongs to; empty for none.
+        session: id of the sequence of turns within the program.
+        program_remaining_ms: time until the whole program should be done; None
+            if not stated.
+        budget: tokens that all turns of the program may generate; None if not
+            stated.
+        prompt_tokens: tokens of the whole prompt.
+        max_tokens: the most tokens that this turn generates.
+        expected_tokens: the caller's estimate of the tokens generated.
+        prompt_parts: parts of the prompt in order.
+        previous: id of the turn that this one continues; empty for none.
+        resumes: whether the request resumes an interrupted stream.
     """
 
     id: str
@@ -45,17 +52,17 @@
 
 
 class Request(NamedTuple):
-    """A caller's request, read whole.
+    """A caller's request with its whole body.
 
     Attributes:
-        method: as sent.
-        target: path and query, byte for byte.
-        path: for finding the route.
-        host: the host name that was asked for.
-        headers: to pass on, without those of one connection.
-        body: whole.
-        metadata: what the headers say.
-        arrived_ms: on the process's clock.
+        method: HTTP method as sent.
+        target: path and query as sent, byte for byte.
+        path: path without the query, for finding the route.
+        host: host name that the caller asked for.
+        headers: headers to forward, without those of one connection.
+        body: the whole body.
+        metadata: what the headers say about the request.
+        arrived_ms: when the request arrived, on the process's clock.
     """
 
     method: bytes
@@ -69,18 +76,20 @@
 
 
 class AnswerHead(NamedTuple):
-    """The beginning of an upstream host's answer.
+    """Status and headers of an upstream host's answer.
 
     Attributes:
         status: HTTP status.
-        headers: to pass on, without those of one connection.
-        request: the request that it says it answers; empty if none.
-        signed: whether it bears the host's signature.
-        refused: whether the host says that it did not run the request.
-        encoded: whether the body is not the plain one that was asked for.
-        load: calls running and waiting at the host and its slots, if told.
-        keep_alive_ms: how long the connection may stay idle; None if not told.
-        retry_after_ms: when the host asks to be tried again, if told.
+        headers: headers to forward, without those of one connection.
+        request: id of the request that the answer is for; empty if not stated.
+        signed: whether the answer has a host's signature.
+        refused: whether the host states that it did not run the request.
+        encoded: whether the body has a content encoding, which was not asked for.
+        load: calls running at the host, calls waiting there, and its slots; None
+            if not stated.
+        keep_alive_ms: how long the connection may stay idle; None if not stated.
+        retry_after_ms: after how long the host asks to be tried again; None if
+            not stated.
     """
 
     status: int
--- a/pollenwalk/request/retry.py
+++ b/pollenwalk/request/retry.py
@@ -1,8 +1,8 @@
-"""Retries that cannot make an outage worse.
+"""Retry budgets, which keep retries from making an outage worse, and back-off.
 
-Each success earns a fraction of a retry, so while an upstream is down the
-retries sent are bounded by what succeeded before. The idea of a retry budget
-is described in Google's "Site Reliability Engineering" (2016), chapter 21.
+Each success earns a fraction of a retry. So while an upstream is down, the number
+of retries is bounded by the successes before. Retry budgets are described in
+Google's "Site Reliability Engineering" (2016), chapter 21.
 """
 
 import random
@@ -15,18 +15,22 @@
 
 
 class RetryBudget:
-    """Retries that recent successes have earned."""
+    """Retries that recent successes have earned.
+
+    Attributes:
+        balance: retries left; fractions count up to a whole retry.
+    """
 
     def __init__(self) -> None:
-        """Start with a full reserve."""
+        """Start with the highest balance."""
         self.balance = MAX_SAVED_RETRIES
 
     def earn(self) -> None:
-        """Note a success."""
+        """Add what one success earns."""
         self.balance = min(self.balance + RETRIES_PER_SUCCESS, MAX_SAVED_RETRIES)
 
     def spend(self) -> bool:
-        """Take one retry; False when none is left."""
+        """Spend one retry; return False if none is left."""
         if self.balance < 1:
             return False
         self.balance -= 1
@@ -34,26 +38,26 @@
 
 
 class RetryBudgets:
-    """One budget for each caller and upstream."""
+    """The retry budgets of all pairs of a caller and an upstream."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start without budgets."""
         self.budgets: dict[tuple[str, str], RetryBudget] = {}
 
     def budget_of(self, caller: str, upstream: str) -> RetryBudget:
-        """Give the budget of a pair, making it at first use."""
+        """Return the budget of a pair; it is created at first use."""
         return self.budgets.setdefault((caller, upstream), RetryBudget())
 
 
 def backoff_ms(attempt: int, rng: random.Random) -> float:
-    """Draw the pause before a retry, with full jitter.
+    """Return a random time in ms to wait before a retry.
 
-    Args:
-        attempt: how many attempts have failed, from 1 on.
-        rng: the process's source of randomness.
+    The upper bound grows exponentially; the time is uniform between 0 and it
+    (full jitter).
 
-    Returns:
-        Milliseconds to wait.
+    Args:
+        attempt: number of attempts that have failed, at least 1.
+        rng: the process's random number generator.
     """
     ceiling = min(FIRST_BACKOFF_MS * BACKOFF_FACTOR ** (attempt - 1), MAX_BACKOFF_MS)
     return rng.uniform(0, ceiling)
