--- a/pollenwalk/process/acceptance.py
+++ b/pollenwalk/process/acceptance.py
@@ -1,8 +1,9 @@
-"""Accepting declared resources, once and for all entries.
+"""Acceptance of the resources that operators declare.
 
-What operators write below `resources/` is a wish. An entry checks it and
-writes the verdict below `accepted/` by a conditional update, so the entries
-agree on it; what has been accepted stays in force whatever the wish becomes.
+Operators write desired resources below `resources/`. One entry validates each
+and writes its acceptance status below `accepted/` by a conditional update, so
+that all entries agree on it. What has been accepted stays in force until a
+later version is accepted, even if the desired resource becomes invalid.
 """
 
 from collections.abc import Callable
@@ -22,35 +23,31 @@
     undeclared_references,
 )
 from pollenwalk.version.fields import InvalidFile
-from pollenwalk.version.resources import (
-    Kind,
-    ResourceId,
-    parse_section,
-)
+from pollenwalk.version.resources import Kind, ResourceId, parse_section
 
-WISHES = 'resources/'
-VERDICTS = 'accepted/'
-JUDGE_MS = 250
+DESIRED_PREFIX = 'resources/'
+STATUS_PREFIX = 'accepted/'
+EVALUATION_INTERVAL_MS = 250
 
 
-class Wish(NamedTuple):
-    """A resource as an operator wrote it; no keys means delete it."""
+class DesiredResource(NamedTuple):
+    """A resource as an operator wrote it; `keys` is None to delete it."""
 
     kind: str
     name: str
     keys: dict[str, str] | None
 
 
-class Verdict(NamedTuple):
-    """What became of a wish.
+class AcceptanceStatus(NamedTuple):
+    """Whether a desired resource was accepted, and what is in force.
 
     Attributes:
-        kind: the resource's kind.
-        name: the resource's name.
-        observed: version of the last wish that was looked at.
-        version: version of the wish that is in force.
-        spec: what is in force; None when it was deleted.
-        reason: why the last wish was refused; empty when it was accepted.
+        kind: kind of the resource.
+        name: name of the resource.
+        observed: version of the desired resource that was evaluated last.
+        version: version of the desired resource that is in force; 0 if none is.
+        spec: the spec that is in force; None if the resource is deleted.
+        reason: why the observed version was refused; empty if it was accepted.
     """
 
     kind: str
@@ -61,34 +58,41 @@
     reason: str
 
 
-class Judged(NamedTuple):
-    """What is remembered of a verdict.
+class KnownStatus(NamedTuple):
+    """What is remembered of an acceptance status.
 
     Attributes:
-        version: of the verdict's object.
-        observed: version of the wish it was about.
+        version: store version of the status object.
+        observed: version of the desired resource that it is about.
     """
 
     version: int
     observed: int
 
 
-WISH_DECODER = msgspec.json.Decoder(Wish)
-VERDICT_DECODER = msgspec.json.Decoder(Verdict)
+DESIRED_DECODER = msgspec.json.Decoder(DesiredResource)
+STATUS_DECODER = msgspec.json.Decoder(AcceptanceStatus)
+
 
+def desired_key(resource_id: ResourceId) -> str:
+    """Return the store key of a desired resource."""
+    return f'{DESIRED_PREFIX}{resource_id.kind}/{resource_id.name}'
 
-def wish_key(resource_id: ResourceId) -> str:
-    """Name the object of a wish."""
-    return f'{WISHES}{resource_id.kind}/{resource_id.name}'
 
+def status_key(resource_id: ResourceId) -> str:
+    """Return the store key of an acceptance status."""
+    return f'{STATUS_PREFIX}{resource_id.kind}/{resource_id.name}'
 
-def verdict_key(resource_id: ResourceId) -> str:
-    """Name the object of a verdict."""
-    return f'{VERDICTS}{resource_id.kind}/{resource_id.name}'
 
+class AcceptanceController:
+    """Evaluates desired resources and applies acceptance statuses for one entry.
 
-class Acceptance:
-    """Follows wishes and verdicts for one entry."""
+    Attributes:
+        statuses: the known acceptance statuses, by key.
+        desired_versions: last seen version of each desired resource, by key.
+        pending: desired resources that are not evaluated yet, by key.
+        synced: whether all acceptance statuses have been read once.
+    """
 
     def __init__(
         self,
@@ -96,148 +100,172 @@
         clock: Clock,
         config: Configuration,
     ) -> None:
-        """Put verdicts in force in `config`."""
+        """Create a controller that applies accepted resources to `config`."""
         self.store = store
         self.clock = clock
         self.config = config
-        self.verdicts: dict[str, Judged] = {}
-        self.wishes: dict[str, int] = {}
+        self.statuses: dict[str, KnownStatus] = {}
+        self.desired_versions: dict[str, int] = {}
         self.pending: dict[str, StoredObject] = {}
         self.synced = False
 
-    async def follow_verdicts(self) -> None:
-        """Keep the configuration current for as long as the process lives."""
+    async def follow_statuses(self) -> None:
+        """Follow the acceptance statuses and apply them, until cancelled."""
         await follow(
             self.store,
             self.clock,
-            VERDICTS,
-            self.take_verdict,
-            self.note_synced,
+            STATUS_PREFIX,
+            self.apply_status,
+            self.mark_synced,
         )
 
-    def note_synced(self) -> None:
-        """Note that the verdicts have been read."""
+    def mark_synced(self) -> None:
+        """Record that the acceptance statuses have been read."""
         self.synced = True
 
-    def take_verdict(self, stored: StoredObject) -> None:
-        """Put a verdict in force unless a newer one is."""
-        known = self.verdicts.get(stored.key)
+    def apply_status(self, stored: StoredObject) -> None:
+        """Apply an acceptance status unless one as recent is already known."""
+        known = self.statuses.get(stored.key)
         if not stored.body or (known and known.version >= stored.version):
             return
-        verdict = VERDICT_DECODER.decode(stored.body)
-        self.verdicts[stored.key] = Judged(stored.version, verdict.observed)
-        wish = self.pending.get(stored.key.replace(VERDICTS, WISHES, 1))
-        if wish is not None and self.observed(wish):
-            self.pending.pop(wish.key)
-        if verdict.version:
+        status = STATUS_DECODER.decode(stored.body)
+        self.statuses[stored.key] = KnownStatus(stored.version, status.observed)
+        desired = self.pending.get(stored.key.replace(STATUS_PREFIX, DESIRED_PREFIX, 1))
+        if desired is not None and self.is_evaluated(desired):
+            self.pending.pop(desired.key)
+        if status.version:
             self.config.accept(
                 Accepted(
-                    verdict.kind,
-                    verdict.name,
-                    verdict.version,
-                    verdict.spec,
+                    status.kind,
+                    status.name,
+                    status.version,
+                    status.spec,
                 ),
             )
 
-    async def follow_wishes(self) -> None:
-        """Follow what operators write for as long as the process lives."""
-        await follow(self.store, self.clock, WISHES, self.take_wish)
+    async def follow_desired_resources(self) -> None:
+        """Follow the desired resources, until cancelled."""
+        await follow(self.store, self.clock, DESIRED_PREFIX, self.record_desired)
 
-    async def judge_wishes(self, is_ours: Callable[[], bool]) -> None:
-        """Judge wishes while `is_ours()` says that this entry should."""
+    async def evaluate_desired_resources(
+        self, is_responsible: Callable[[], bool]
+    ) -> None:
+        """Evaluate pending desired resources periodically, until cancelled.
+
+        Args:
+            is_responsible: returns whether this entry is the one that evaluates.
+        """
         while True:
             try:
-                if is_ours():
-                    await self.judge_all()
+                if is_responsible():
+                    await self.evaluate_pending()
             except StoreUnavailable as error:
-                logger.info('judging_put_off', reason=error.message)
-            await self.clock.sleep_ms(JUDGE_MS)
+                logger.info('evaluation_postponed', reason=error.message)
+            await self.clock.sleep_ms(EVALUATION_INTERVAL_MS)
 
-    def take_wish(self, stored: StoredObject) -> None:
-        """Note a wish; only its version is kept once it has been judged."""
-        if self.wishes.get(stored.key, 0) >= stored.version:
+    def record_desired(self, stored: StoredObject) -> None:
+        """Record a desired resource; keep its body only until it is evaluated."""
+        if self.desired_versions.get(stored.key, 0) >= stored.version:
             return
-        self.wishes[stored.key] = stored.version
-        if not self.observed(stored):
+        self.desired_versions[stored.key] = stored.version
+        if not self.is_evaluated(stored):
             self.pending[stored.key] = stored
 
-    async def judge_all(self) -> None:
-        """Judge what no verdict has looked at; upstreams go first."""
+    async def evaluate_pending(self) -> None:
+        """Evaluate the pending desired resources, programs last.
+
+        Programs refer to upstreams, which must be accepted first.
+        """
         order = sorted(
             self.pending.values(),
             key=lambda stored: (Kind.PROGRAM in stored.key, stored.key),
         )
         for stored in order:
-            await self.judge(stored)
+            await self.evaluate(stored)
 
-    def observed(self, stored: StoredObject) -> bool:
-        """Tell whether a verdict has looked at this wish."""
-        key = stored.key.replace(WISHES, VERDICTS, 1)
-        judged = self.verdicts.get(key)
-        return judged is not None and judged.observed >= stored.version
+    def is_evaluated(self, stored: StoredObject) -> bool:
+        """Return whether this version of a desired resource was evaluated."""
+        key = stored.key.replace(DESIRED_PREFIX, STATUS_PREFIX, 1)
+        known = self.statuses.get(key)
+        return known is not None and known.observed >= stored.version
 
-    async def judge(self, stored: StoredObject) -> None:
-        """Check one wish and write the verdict."""
-        key = stored.key.replace(WISHES, VERDICTS, 1)
+    async def evaluate(self, stored: StoredObject) -> None:
+        """Validate one desired resource and write its acceptance status.
+
+        Raises:
+            StoreUnavailable: the store did not answer.
+        """
+        key = stored.key.replace(DESIRED_PREFIX, STATUS_PREFIX, 1)
         present = await self.store.get(key)
         if present is not None:
-            self.take_verdict(present)
-            if self.observed(stored):
+            self.apply_status(present)
+            if self.is_evaluated(stored):
                 return
-        verdict = self.verdict_on(stored, present)
-        body = msgspec.json.encode(verdict)
+        status = self.build_status(stored, present)
+        body = msgspec.json.encode(status)
         version = present.version if present else ABSENT
         try:
             written = await self.store.put(key, body, version)
         except StoreConflict:
-            # Another entry was faster; its verdict comes with the watch.
+            # Another entry was faster; its status arrives through the watch.
             return
-        self.take_verdict(StoredObject(key, body, written))
-        logger.info('resource_judged', key=key, reason=verdict.reason)
+        self.apply_status(StoredObject(key, body, written))
+        logger.info('resource_judged', key=key, reason=status.reason)
 
-    def verdict_on(
+    def build_status(
         self,
         stored: StoredObject,
         present: StoredObject | None,
-    ) -> Verdict:
-        """Decide on a wish; a refused one leaves in force what is."""
-        kind, name = stored.key.removeprefix(WISHES).split('/', 1)
-        before = Verdict(kind, name, 0, 0, None, '')
+    ) -> AcceptanceStatus:
+        """Return the acceptance status of a desired resource.
+
+        A refusal leaves the version and spec that are in force unchanged.
+
+        Args:
+            stored: the desired resource.
+            present: the stored acceptance status; None if there is none yet.
+        """
+        kind, name = stored.key.removeprefix(DESIRED_PREFIX).split('/', 1)
+        previous = AcceptanceStatus(kind, name, 0, 0, None, '')
         if present is not None:
-            before = VERDICT_DECODER.decode(present.body)
-        spec, reason = self.check(stored)
+            previous = STATUS_DECODER.decode(present.body)
+        spec, reason = self.validate(stored)
         if reason:
-            return before._replace(observed=stored.version, reason=reason)
-        return before._replace(
+            return previous._replace(observed=stored.version, reason=reason)
+        return previous._replace(
             observed=stored.version,
             version=stored.version,
             spec=spec,
             reason='',
         )
 
-    def check(self, stored: StoredObject) -> tuple[dict[str, Any] | None, str]:
-        """Give a wish's spec, or the reason why it is refused.
+    def validate(self, stored: StoredObject) -> tuple[dict[str, Any] | None, str]:
+        """Validate a desired resource.
 
-        A wish to delete has neither.
+        Returns:
+            The spec and an empty reason, or None and the reason for refusing
+            it. A deletion gives None and an empty reason.
         """
         if not stored.body:
             return None, ''
         try:
-            wish = WISH_DECODER.decode(stored.body)
+            desired = DESIRED_DECODER.decode(stored.body)
         except msgspec.DecodeError as error:
             return None, f'not a resource: {error}'
-        if wish.keys is None:
+        if desired.keys is None:
             return None, ''
-        section = f'{wish.kind} {wish.name}'
-        problems, resource = parse_section(section, wish.keys, stored.key)
+        section = f'{desired.kind} {desired.name}'
+        problems, resource = parse_section(section, desired.keys, stored.key)
         if resource is None:
             return None, InvalidFile(problems).message
-        missing = undeclared_references(resource, self.config)
-        if missing:
-            return None, '; '.join(missing)
+        undeclared = undeclared_references(resource, self.config)
+        if undeclared:
+            return None, '; '.join(undeclared)
         return spec_to_json(resource.spec), ''
 
 
-def encode_wish(resource_id: ResourceId, keys: dict[str, str] | None) -> bytes:
-    """Pack an operator's wish."""
-    return msgspec.json.encode(Wish(resource_id.kind, resource_id.name, keys))
+def encode_desired(resource_id: ResourceId, keys: dict[str, str] | None) -> bytes:
+    """Encode a desired resource as JSON; `keys` None deletes the resource."""
+    return msgspec.json.encode(
+        DesiredResource(resource_id.kind, resource_id.name, keys)
+    )
--- a/pollenwalk/process/beginnings.py
+++ b/pollenwalk/process/beginnings.py
@@ -215,7 +215,7 @@
         level = self.context.config.level(spec.priority)
         for name in spec.upstreams:
             upstream = self.context.config.upstream(name)
-            hosts = self.context.fleet.views(name)
+            hosts = self.context.fleet.available_hosts(name)
             if upstream and upstream.kind == 'model' and not has_capacity(hosts, level):
                 raise Refusal(
                     RefusalCode.OVERLOADED,
--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -16,7 +16,7 @@
 )
 from pollenwalk.errors import Refusal, StoreUnavailable
 from pollenwalk.policy.placement import ExpectedFinish, Placement
-from pollenwalk.process.acceptance import Acceptance
+from pollenwalk.process.acceptance import AcceptanceController
 from pollenwalk.process.adoption import Adoption
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.compaction import Compaction
@@ -104,7 +104,7 @@
         self.placement = placement or ExpectedFinish()
         self.tasks = TaskSet()
         self.config = Configuration()
-        self.acceptance = Acceptance(store, clock, self.config)
+        self.acceptance = AcceptanceController(store, clock, self.config)
         self.fleet = Fleet(clock, settings.regions)
         self.config.on_accept = self.accepted
         self.peers = Peers(network, clock, self.tasks)
@@ -204,9 +204,11 @@
             await self.network.bind(address, self.datagram),
         ]
         self.tasks.spawn(self.directory.follow(), 'directory')
-        self.tasks.spawn(self.acceptance.follow_verdicts(), 'verdicts')
-        self.tasks.spawn(self.acceptance.follow_wishes(), 'wishes')
-        self.tasks.spawn(self.acceptance.judge_wishes(self.judges), 'judge')
+        self.tasks.spawn(self.acceptance.follow_statuses(), 'verdicts')
+        self.tasks.spawn(self.acceptance.follow_desired_resources(), 'wishes')
+        self.tasks.spawn(
+            self.acceptance.evaluate_desired_resources(self.judges), 'judge'
+        )
         self.tasks.spawn(self.neighbours.watch_entries(), 'liveness')
         self.tasks.spawn(self.register(), 'register')
         if self.hosts is not None:
@@ -271,13 +273,13 @@
         if isinstance(message, Beat):
             self.liveness.heard(message.incarnation)
         elif isinstance(message, Report):
-            self.fleet.take(message)
+            self.fleet.record_report(message)
             self.reply(message)
 
     def reply(self, report: Report) -> None:
         """Tell a sidecar which entries there are and what is in force."""
         entries = self.subsets.entries(report, len(self.fleet.hosts))
-        self.fleet.interval_ms = entries.interval_ms
+        self.fleet.report_interval_ms = entries.interval_ms
         if entries.digest != report.digest and entries.addresses:
             self.send(report.address, entries)
         accepted = self.config.accepted.get(
--- a/pollenwalk/process/sidecar.py
+++ b/pollenwalk/process/sidecar.py
@@ -1,4 +1,4 @@
-"""The process beside an upstream host: the only one that talks to it."""
+"""The sidecar process: runs next to one upstream host and makes all calls to it."""
 
 import random
 from typing import NamedTuple
@@ -15,37 +15,37 @@
     decode_datagram,
     encode_datagram,
 )
-from pollenwalk.errors import (
-    Refusal,
-)
+from pollenwalk.errors import Refusal
+from pollenwalk.process.call_executor import CallExecutor
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.sidecar_calls import SidecarCall
 from pollenwalk.process.sidecar_service import SidecarService
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.process.traces import Tracer
-from pollenwalk.process.upstream_calls import UpstreamCalls
 from pollenwalk.version.config import spec_from_json
 from pollenwalk.version.resources import Kind
 
-REPORT_MS = 1000
-SEED_EVERY = 10
-SWEEP_MS = 1000
-ORPHAN_MS = 10_000
-STOP_PATIENCE_MS = 60_000
-STOP_CHECK_MS = 20
+INITIAL_REPORT_INTERVAL_MS = 1000
+SEED_REPORT_EVERY = 10
+SWEEP_INTERVAL_MS = 1000
+ORPHAN_TIMEOUT_MS = 10_000
+STOP_TIMEOUT_MS = 60_000
+STOP_POLL_MS = 20
 ID_BITS = 64
 
 
 class SidecarSettings(NamedTuple):
-    """Where a sidecar runs and what it stands beside.
+    """Settings of one sidecar.
 
     Attributes:
-        sidecar: its id, the same after a restart.
-        upstream: the declared upstream it belongs to.
-        address: `ip:port` for entries, TCP and UDP.
-        zone: its availability zone.
-        entries: `ip:port` of entries to report to at first.
-        coalesce_ms: how long tokens may wait for company.
+        sidecar: id of the sidecar, the same after a restart.
+        upstream: name of the declared upstream that its host belongs to.
+        address: `ip:port` where entries connect, TCP and UDP.
+        zone: availability zone of the host.
+        entries: `ip:port` of the entries to report to at first; their replies
+            name the others.
+        coalesce_ms: maximum time in ms that tokens are buffered so that
+            several can be sent in one message.
     """
 
     sidecar: str
@@ -57,7 +57,7 @@
 
 
 class Sidecar:
-    """One start of a sidecar."""
+    """A running sidecar, from one start of its process to its end."""
 
     def __init__(
         self,
@@ -68,122 +68,131 @@
         rng: random.Random,
         tracer: Tracer,
     ) -> None:
-        """Stand beside `upstream`; nothing is started yet."""
+        """Create a sidecar for `upstream` without starting it."""
         self.settings = settings
         self.network = network
         self.clock = clock
         self.tasks = TaskSet()
-        self.boot = f'{rng.getrandbits(ID_BITS):016x}'
-        self.work = UpstreamCalls(upstream, clock, self.tasks, tracer)
+        self.boot_id = f'{rng.getrandbits(ID_BITS):016x}'
+        self.executor = CallExecutor(upstream, clock, self.tasks, tracer)
         self.service = SidecarService(self)
         self.server = PeerServer(
             clock,
             self.service.handle,
-            self.boot,
+            self.boot_id,
             settings.coalesce_ms,
         )
         self.spec_version = 0
         self.entries = list(settings.entries)
-        self.interval_ms = float(REPORT_MS)
-        self.digest = ''
-        self.reports = 0
+        self.report_interval_ms = float(INITIAL_REPORT_INTERVAL_MS)
+        self.entries_digest = ''
+        self.report_number = 0
         self.leaving = False
         self.listeners: list[Listener] = []
 
     async def start(self) -> None:
-        """Listen and begin to report."""
+        """Listen for entries and start the background tasks."""
         address = self.settings.address
         self.listeners = [
             await self.network.listen(address, self.server.serve),
-            await self.network.bind(address, self.datagram),
+            await self.network.bind(address, self.handle_datagram),
         ]
-        self.tasks.spawn(self.report(), 'report')
+        self.tasks.spawn(self.report_periodically(), 'report')
         self.tasks.spawn(self.sweep(), 'sweep')
-        if self.work.grants is not None:
-            self.tasks.spawn(self.work.grants.watch(), 'grants')
+        if self.executor.leases is not None:
+            self.tasks.spawn(self.executor.leases.reclaim_periodically(), 'grants')
 
     async def stop(self) -> None:
-        """Stop gracefully: refuse new calls, end those in progress."""
+        """Stop gracefully: refuse new calls and let the running ones finish.
+
+        Reports at once that the host is leaving. Waits at most STOP_TIMEOUT_MS
+        for running calls and for answers that are still being read.
+        """
         self.leaving = True
         self.send_report()
-        until_ms = self.clock.now_ms() + STOP_PATIENCE_MS
-        while self.busy() and self.clock.now_ms() < until_ms:
-            await self.clock.sleep_ms(STOP_CHECK_MS)
-        await self.clock.sleep_ms(STOP_CHECK_MS)
+        until_ms = self.clock.now_ms() + STOP_TIMEOUT_MS
+        while self.has_open_calls() and self.clock.now_ms() < until_ms:
+            await self.clock.sleep_ms(STOP_POLL_MS)
+        await self.clock.sleep_ms(STOP_POLL_MS)
         await self.close()
 
-    def busy(self) -> bool:
-        """Tell whether a call runs or its answer is still being read."""
+    def has_open_calls(self) -> bool:
+        """Return whether a call is running or its answer is still being read."""
         return any(
             not call.ended_ms or call.stream.followers
-            for call in self.work.calls.calls.values()
+            for call in self.executor.calls.by_id.values()
         )
 
     async def close(self) -> None:
-        """End everything at once."""
+        """Cancel all tasks and close all connections immediately."""
         await self.tasks.cancel()
         await self.server.close()
         for listener in self.listeners:
             await listener.close()
 
     async def sweep(self) -> None:
-        """Stop orphan calls and forget old ones."""
+        """Periodically stop orphaned calls and drop expired results."""
         while True:
-            await self.clock.sleep_ms(SWEEP_MS)
-            self.work.calls.drop_old()
-            for call in list(self.work.calls.calls.values()):
+            await self.clock.sleep_ms(SWEEP_INTERVAL_MS)
+            self.executor.calls.drop_expired()
+            for call in list(self.executor.calls.by_id.values()):
                 if self.is_orphan(call):
-                    await self.work.stop_call(call)
+                    await self.executor.stop_call(call)
 
     def is_orphan(self, call: SidecarCall) -> bool:
-        """Tell whether a repeatable call has long had no follower."""
+        """Return whether a running idempotent call has lost all its followers.
+
+        True once it has had none for more than ORPHAN_TIMEOUT_MS. Updates
+        `call.unfollowed_since_ms`.
+        """
         if call.stream.followers or call.ended_ms or not call.message.idempotent:
-            call.alone_ms = None
+            call.unfollowed_since_ms = None
             return False
         now_ms = self.clock.now_ms()
-        if call.alone_ms is None:
-            call.alone_ms = now_ms
-        return now_ms - call.alone_ms > ORPHAN_MS
+        if call.unfollowed_since_ms is None:
+            call.unfollowed_since_ms = now_ms
+        return now_ms - call.unfollowed_since_ms > ORPHAN_TIMEOUT_MS
 
-    async def report(self) -> None:
-        """Report the load for as long as the process lives."""
+    async def report_periodically(self) -> None:
+        """Report the load to the entries periodically, until cancelled."""
         while True:
             self.send_report()
-            await self.clock.sleep_ms(self.interval_ms)
+            await self.clock.sleep_ms(self.report_interval_ms)
 
     def send_report(self) -> None:
-        """Send one report to each entry."""
-        self.reports += 1
+        """Send a load report to each entry known to this sidecar."""
+        self.report_number += 1
         settings = self.settings
         report = Report(
             settings.sidecar,
-            self.boot,
+            self.boot_id,
             settings.upstream,
             settings.address,
             settings.zone,
-            self.reports,
-            self.work.slot_queue.running,
-            len(self.work.slot_queue.waiting),
-            self.work.slot_queue.slots,
+            self.report_number,
+            self.executor.slot_queue.running,
+            len(self.executor.slot_queue.waiting),
+            self.executor.slot_queue.slots,
             self.leaving,
             self.spec_version,
-            self.digest,
+            self.entries_digest,
         )
         payload = encode_datagram(report)
-        for address in self.targets():
+        for address in self.report_addresses():
             self.network.send_datagram(settings.address, address, payload)
 
-    def targets(self) -> list[str]:
-        """Give whom to report to; now and then also the first entries.
+    def report_addresses(self) -> list[str]:
+        """Return the addresses of the entries that get the current report.
 
-        All that were named since may have been replaced meanwhile.
+        Every SEED_REPORT_EVERY-th report also goes to the entries from the
+        settings, because all entries learned since then may have been replaced.
         """
-        if self.reports % SEED_EVERY:
+        if self.report_number % SEED_REPORT_EVERY:
             return self.entries
         return list(dict.fromkeys([*self.entries, *self.settings.entries]))
 
-    def datagram(self, payload: bytes, sender: str) -> None:
-        """Take an entry's reply to a report; noise is dropped."""
+    def handle_datagram(self, payload: bytes, sender: str) -> None:
+        """Apply a datagram from an entry; drop one that can't be decoded."""
         try:
             message = decode_datagram(payload)
         except Refusal as refusal:
@@ -191,18 +200,20 @@
             return
         if isinstance(message, Entries) and message.addresses:
             self.entries = message.addresses
-            self.interval_ms = float(message.interval_ms)
-            self.digest = message.digest
+            self.report_interval_ms = float(message.interval_ms)
+            self.entries_digest = message.digest
         if isinstance(message, UpstreamConfig):
-            self.configure(message)
+            self.apply_config(message)
 
-    def configure(self, message: UpstreamConfig) -> None:
-        """Put a newer declaration in force."""
+    def apply_config(self, message: UpstreamConfig) -> None:
+        """Apply a declaration of this sidecar's upstream if it is newer."""
         if message.name != self.settings.upstream:
             return
         if message.version <= self.spec_version:
             return
-        self.work.spec = spec_from_json(Kind.UPSTREAM, message.spec)
+        self.executor.spec = spec_from_json(Kind.UPSTREAM, message.spec)
         self.spec_version = message.version
-        self.work.slot_queue.resize(self.work.spec.slots, self.work.spec.queue)
+        self.executor.slot_queue.resize(
+            self.executor.spec.slots, self.executor.spec.queue
+        )
         self.send_report()
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -83,7 +83,7 @@
                     f'no host of upstream {self.request.upstream} accepts calls now',
                     retry_after_ms=RETRY_AFTER_MS,
                 )
-            hosts = self.context.fleet.views(self.request.upstream)
+            hosts = self.context.fleet.available_hosts(self.request.upstream)
             host = self.context.placement.choose(hosts, self.placement_request())
             if host is not None:
                 return host
@@ -128,14 +128,14 @@
         if connection is None:
             connection = await self.context.peers(host.address).connected()
         with self.context.tracer.span('dispatch', self.request.trace) as trace:
-            message = self.build_dispatch(host, connection.boot, max_tokens, trace)
+            message = self.build_dispatch(host, connection.boot_id, max_tokens, trace)
             self.call.running = True
-            self.context.fleet.sent(host.sidecar, self.call.id)
+            self.context.fleet.add_call(host.sidecar, self.call.id)
             try:
                 answer = await dispatch(connection, self.live, self.call, message)
             finally:
-                self.context.fleet.returned(host.sidecar, self.call.id)
-        self.context.fleet.answered(host.sidecar, answer.ahead)
+                self.context.fleet.remove_call(host.sidecar, self.call.id)
+        self.context.fleet.update_load(host.sidecar, answer.ahead)
         self.context.retries.budget_of(
             self.program.caller, self.request.upstream
         ).earn()
@@ -144,7 +144,7 @@
     def build_dispatch(
         self,
         host: HostView,
-        boot: str,
+        boot_id: str,
         max_tokens: int,
         trace: str,
     ) -> Dispatch:
@@ -158,7 +158,7 @@
         return Dispatch(
             self.call.id,
             self.program.id,
-            boot,
+            boot_id,
             self.request.operation,
             self.request.operation not in self.spec.non_idempotent,
             self.request.argument,
@@ -179,7 +179,7 @@
             Refusal: no retry is left for this caller and upstream.
         """
         logger.info('host_lost', sidecar=host.sidecar, call=self.call.id)
-        self.context.fleet.refused(host.sidecar, LOST_HOST_PAUSE_MS)
+        self.context.fleet.pause_host(host.sidecar, LOST_HOST_PAUSE_MS)
         await self.back_off(host)
 
     async def handle_refusal(self, host: HostView, refusal: Refusal) -> None:
@@ -191,9 +191,9 @@
             Refusal: no attempt is left, or no retry for this caller and upstream.
         """
         if refusal.code == RefusalCode.STOPPING:
-            self.context.fleet.leaves(host.sidecar)
+            self.context.fleet.mark_leaving(host.sidecar)
         else:
-            self.context.fleet.refused(
+            self.context.fleet.pause_host(
                 host.sidecar,
                 refusal.retry_after_ms or REFUSAL_PAUSE_MS,
             )
--- a/pollenwalk/request/dispatch.py
+++ b/pollenwalk/request/dispatch.py
@@ -68,19 +68,19 @@
     return last
 
 
-async def follow(connection: Connection, call: LiveCall, boot: str) -> Answer:
+async def follow(connection: Connection, call: LiveCall, boot_id: str) -> Answer:
     """Attach to a call at a sidecar and return its answer.
 
     Args:
         connection: to the sidecar.
         call: receives the tokens that it does not have yet.
-        boot: id of the start of the sidecar that the call was dispatched to.
+        boot_id: id of the start of the sidecar that the call was dispatched to.
 
     Raises:
         ConnectionLost: the connection ended before the answer.
         Refusal: the call failed, or the sidecar does not have it any more.
     """
-    message = Follow(call.id, boot, len(call.stream.texts))
+    message = Follow(call.id, boot_id, len(call.stream.texts))
     answer = await collect_answer(connection.stream(message), call)
     if not isinstance(answer, Answer):
         raise ConnectionLost('the sidecar ended without an answer')
@@ -90,17 +90,17 @@
 class Resolver:
     """Resolves the outcome of a dispatched call."""
 
-    def __init__(self, peer: Peer, clock: Clock, boot: str) -> None:
+    def __init__(self, peer: Peer, clock: Clock, boot_id: str) -> None:
         """Prepare to ask a sidecar.
 
         Args:
             peer: the sidecar.
             clock: the process's clock.
-            boot: id of the start of the sidecar that the call was dispatched to.
+            boot_id: id of the start of the sidecar that the call was dispatched to.
         """
         self.peer = peer
         self.clock = clock
-        self.boot = boot
+        self.boot_id = boot_id
 
     async def resolve(
         self, call: LiveCall, fence: str, give_up_at_ms: float
@@ -141,14 +141,14 @@
             Refusal: the call failed, or the sidecar has restarted.
         """
         connection = await self.peer.connected()
-        if connection.boot != self.boot:
+        if connection.boot_id != self.boot_id:
             raise Refusal(
                 RefusalCode.OUTCOME_UNKNOWN,
                 'the upstream host restarted while the call was with it',
                 Outcome.UNKNOWN,
             )
-        question = Resolve(call.id, self.boot, fence)
+        question = Resolve(call.id, self.boot_id, fence)
         resolution = await self.peer.ask(question, RESOLVE_TIMEOUT_MS)
         if resolution.state == NOT_RUN_STATE:
             return None
-        return await follow(connection, call, self.boot)
+        return await follow(connection, call, self.boot_id)
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -185,7 +185,7 @@
         resolver = Resolver(
             self.context.peers(host.address),
             self.context.clock,
-            connection.boot,
+            connection.boot_id,
         )
         give_up_at_ms = self.call.deadline_ms + RESOLVE_GRACE_MS
         try:
@@ -239,7 +239,7 @@
             self.request.operation,
             self.request.argument,
             host.address,
-            connection.boot,
+            connection.boot_id,
             self.context.incarnation,
         )
 
