--- a/pollenwalk/request/routing.py
+++ b/pollenwalk/request/routing.py
@@ -1,8 +1,8 @@
-"""From any entry to a program's home, across the home's death.
+"""Routing of requests from any entry to a program's owner, also after a takeover.
 
-The program's id names its first home and the directory its successors. An
-entry that is not the home can't know whether a call ran, so it never says
-"not run" of its own accord.
+A program's id names its first owner, and the directory names the successors. An
+entry that is not the owner cannot know whether a call ran, so it never states on
+its own that a call did not run.
 """
 
 from collections import Counter
@@ -34,16 +34,25 @@
 from pollenwalk.process.witness import PeerSource
 from pollenwalk.program.view import view_call, view_program
 
+# How long a request waits for an owner or registrar that answers, and the pause
+# between tries.
 OWNER_WAIT_MS = 30_000
 OWNER_PAUSE_MS = 50
 FORWARD_TIMEOUT_MS = 10_000
 CLAIM_TIMEOUT_MS = 1000
+# How many earlier registrars of a key are asked for its program.
 MAX_OLDER_REGISTRARS = 2
+# Errors after which the owner is looked up again, as it may have a successor.
 OWNER_MOVED_ERRORS = (ConnectionLost, Fenced, OwnerUnreachable)
 
 
 class Routing:
-    """Brings requests to the programs' homes."""
+    """Routes requests to the owners of their programs.
+
+    Attributes:
+        open_requests: requests of callers that are not answered yet.
+        forwarded: number of requests sent to other entries since the start.
+    """
 
     def __init__(
         self,
@@ -52,7 +61,7 @@
         peers: PeerSource,
         location: Location,
     ) -> None:
-        """Serve `home`'s programs here and forward all others."""
+        """Serve the programs of `owner` here and forward all other requests."""
         self.owner = owner
         self.directory = directory
         self.peers = peers
@@ -63,20 +72,25 @@
 
     @property
     def incarnation(self) -> str:
-        """Give the incarnation whose programs are served here."""
+        """Return the incarnation whose programs are served here."""
         return self.owner.context.incarnation
 
     def is_owned_here(self, program_id: str) -> bool:
-        """Tell whether this entry is a program's home."""
+        """Return whether this entry owns a program.
+
+        A program that it does not have counts as owned if its id names this entry;
+        one that it has does not count after the entry was fenced.
+        """
         if program_id in self.owner.table.programs:
             return not self.owner.context.recorder.journal.fenced
         return owner_of(program_id) == self.incarnation
 
-    async def locate(self, program_id: str) -> EntryRecord:
-        """Give the present owner of a program.
+    async def find_owner(self, program_id: str) -> EntryRecord:
+        """Return the record of the entry that owns a program now.
 
         Raises:
-            Refusal: no entry has ever had that incarnation.
+            Refusal: no entry is known by the incarnation in the program's id.
+            OwnerUnreachable: the store does not answer.
         """
         incarnation = owner_of(program_id)
         owner_record = self.directory.resolve_owner(incarnation)
@@ -88,10 +102,10 @@
         return owner_record
 
     async def refresh(self) -> None:
-        """Read the directory; without the store nobody can tell.
+        """Read the directory again.
 
         Raises:
-            Refusal: the store does not answer.
+            OwnerUnreachable: the store does not answer, so the owner is unknown.
         """
         try:
             await self.directory.refresh()
@@ -99,57 +113,71 @@
             raise OwnerUnreachable() from error
 
     async def begin(self, request: BeginProgram) -> View:
-        """Begin a program, or give the one begun with the same key."""
+        """Begin a program, or return the one begun with the same key."""
         self.open_requests += 1
         try:
             if request.parent:
-                return await self.at_owner(request.parent, request)
-            return await self.begin_by_key(request)
+                return await self.ask_until_answered(request.parent, request)
+            return await self.begin_with_key(request)
         finally:
             self.open_requests -= 1
 
-    async def begin_by_key(self, request: BeginProgram) -> View:
-        """Begin here, or give what the same key began anywhere before."""
-        proposed = self.owner.beginnings.new_id(self.best_owner(request))
+    async def begin_with_key(self, request: BeginProgram) -> View:
+        """Begin a program unless its key has begun one at any entry before."""
+        proposed_id = self.owner.beginnings.new_id(self.choose_owner(request))
         if not request.key:
-            return await self.at_owner(proposed, request._replace(program=proposed))
-        program_id = await self.claim(request, proposed)
-        return await self.at_owner(
+            return await self.ask_until_answered(
+                proposed_id, request._replace(program=proposed_id)
+            )
+        program_id = await self.claim(request, proposed_id)
+        return await self.ask_until_answered(
             program_id,
             request._replace(program=program_id),
         )
 
-    def best_owner(self, request: BeginProgram) -> str:
-        """Choose a home in the region of most of the program's upstreams.
+    def choose_owner(self, request: BeginProgram) -> str:
+        """Choose an owner in the region that has most hosts of the upstreams.
 
-        A commit and a dispatch are short ways there, while the link between
+        There, commits and dispatches have short round trips, while the link between
         regions is slow, narrow and paid by volume.
+
+        Returns:
+            The owner's incarnation; this entry's if no other region has more hosts.
         """
         spec = self.owner.context.config.program(request.declaration)
         upstreams = spec.upstreams if spec else []
         fleet = self.owner.context.fleet
         regions = Counter(host.region for host in fleet.available_hosts_of(upstreams))
-        own = self.location.region
-        if not regions or regions[own] == max(regions.values()):
+        own_region = self.location.region
+        if not regions or regions[own_region] == max(regions.values()):
             return self.incarnation
         region = max(sorted(regions), key=regions.__getitem__)
         names = [record.incarnation for record in self.directory.live(region)]
         ranked = rendezvous(request.key or self.owner.beginnings.new_id(), names)
         return ranked[0] if ranked else self.incarnation
 
-    async def claim(self, request: BeginProgram, proposed: str) -> str:
-        """Settle a key with its registrar, across the registrar's death."""
-        until_ms = self.clock.now_ms() + OWNER_WAIT_MS
-        message = ClaimKey(request.caller, request.key, proposed)
+    async def claim(self, request: BeginProgram, proposed_id: str) -> str:
+        """Claim a key for a program at the key's registrar.
+
+        If the registrar is taken over, its successor is asked.
+
+        Returns:
+            Id of the key's program, which is another one if the key is not new.
+
+        Raises:
+            OwnerUnreachable: no registrar answered in time.
+        """
+        give_up_at_ms = self.clock.now_ms() + OWNER_WAIT_MS
+        message = ClaimKey(request.caller, request.key, proposed_id)
         while True:
             try:
-                return await self.claim_once(message)
+                return await self.claim_at_registrar(message)
             except OWNER_MOVED_ERRORS as error:
-                await self.wait_or_give_up(until_ms, error)
+                await self.wait_or_give_up(give_up_at_ms, error)
 
-    async def claim_once(self, message: ClaimKey) -> str:
-        """Settle a key with its present registrar."""
-        registrar = self.registrars(message)[0]
+    async def claim_at_registrar(self, message: ClaimKey) -> str:
+        """Claim a key at its present registrar and return the key's program."""
+        registrar = self.rank_registrars(message)[0]
         if registrar.incarnation == self.incarnation:
             return await self.claim_here(message)
         claim = await self.peers(registrar.address).ask(
@@ -158,44 +186,54 @@
         )
         return claim.program
 
-    def registrars(self, message: ClaimKey) -> list[EntryRecord]:
-        """Rank the entries for a key.
+    def rank_registrars(self, message: ClaimKey) -> list[EntryRecord]:
+        """Return the entries by their rank for a key; the first is its registrar.
+
+        A dead entry keeps its rank but is replaced by its successor, which knows
+        its keys.
 
-        Dead entries keep their rank: their successors know their keys.
+        Raises:
+            OwnerUnreachable: no entry is known.
         """
         ranked = rendezvous(
             f'{message.caller}\0{message.key}',
             self.directory.records,
         )
         owners = [self.directory.resolve_owner(incarnation) for incarnation in ranked]
-        known = {record.incarnation: record for record in owners if record is not None}
-        if not known:
+        by_incarnation = {
+            record.incarnation: record for record in owners if record is not None
+        }
+        if not by_incarnation:
             raise OwnerUnreachable()
-        return list(known.values())
+        return list(by_incarnation.values())
 
     async def claim_here(self, message: ClaimKey) -> str:
-        """Settle a key here, after asking who was its registrar before."""
+        """Claim a key here, unless an earlier registrar knows its program."""
         identity = (message.caller, message.key)
         if identity not in self.owner.table.claims:
-            earlier = await self.find_earlier_claim(message)
-            message = message._replace(program=earlier or message.program)
+            earlier_id = await self.find_earlier_claim(message)
+            message = message._replace(program=earlier_id or message.program)
         return await self.owner.beginnings.claim(*message)
 
     async def find_earlier_claim(self, message: ClaimKey) -> str:
-        """Ask the entries that owned the key before this one joined."""
-        own = self.directory.records.get(self.incarnation)
-        question = message._replace(program='')
+        """Ask entries that may have been the key's registrar before this one joined.
+
+        Returns:
+            Id of the key's program; empty if no entry names one.
+        """
+        own_record = self.directory.records.get(self.incarnation)
+        lookup = message._replace(program='')
         older_registrars = [
             record
-            for record in self.registrars(message)
-            if own is not None
+            for record in self.rank_registrars(message)
+            if own_record is not None
             and record.incarnation != self.incarnation
-            and record.started_ms <= own.started_ms
+            and record.started_ms <= own_record.started_ms
         ]
         for record in older_registrars[:MAX_OLDER_REGISTRARS]:
             try:
                 claim = await self.peers(record.address).ask(
-                    question,
+                    lookup,
                     CLAIM_TIMEOUT_MS,
                 )
             except (ConnectionLost, Refusal):
@@ -205,15 +243,18 @@
         return ''
 
     async def call(self, request: CallProgram) -> AsyncIterator[Tokens | Answer]:
-        """Run a call at its program's home, wherever that moves to.
+        """Run a call at its program's owner and, after a takeover, at its successor.
 
-        After a move the tokens begin again at offset 0.
+        After a change of owner the tokens begin again at offset 0.
+
+        Yields:
+            The tokens as they arrive, and the answer last.
         """
         deadline_ms = self.clock.now_ms() + request.deadline_in_ms
-        until_ms = min(deadline_ms, self.clock.now_ms() + OWNER_WAIT_MS)
+        give_up_at_ms = min(deadline_ms, self.clock.now_ms() + OWNER_WAIT_MS)
         self.open_requests += 1
         try:
-            async for item in self.call_until_done(request, deadline_ms, until_ms):
+            async for item in self.call_until_done(request, deadline_ms, give_up_at_ms):
                 yield item
         finally:
             self.open_requests -= 1
@@ -222,9 +263,15 @@
         self,
         request: CallProgram,
         deadline_ms: float,
-        until_ms: float,
+        give_up_at_ms: float,
     ) -> AsyncIterator[Tokens | Answer]:
-        """Run a call at one home after the other until one answers."""
+        """Run a call at the present owner until one answers.
+
+        Args:
+            request: the call.
+            deadline_ms: when the caller stops waiting, on the process's clock.
+            give_up_at_ms: when to stop waiting for an owner, on the same clock.
+        """
         while True:
             remaining_ms = deadline_ms - self.clock.now_ms()
             request = request._replace(deadline_in_ms=remaining_ms)
@@ -232,18 +279,20 @@
                 async for item in self.call_once(request):
                     yield item
             except OWNER_MOVED_ERRORS as error:
-                grace_ms = self.clock.now_ms() + OWNER_PAUSE_MS
-                await self.wait_or_give_up(max(until_ms, grace_ms), error)
+                earliest_give_up_ms = self.clock.now_ms() + OWNER_PAUSE_MS
+                await self.wait_or_give_up(
+                    max(give_up_at_ms, earliest_give_up_ms), error
+                )
                 request = request._replace(offset=0)
             else:
                 return
 
     async def call_once(self, request: CallProgram) -> AsyncIterator[Tokens | Answer]:
-        """Run a call at the present home."""
+        """Run a call once at the present owner, here or at another entry."""
         if self.is_owned_here(request.program):
             source = self.owner.call(request)
         else:
-            owner_record = await self.locate(request.program)
+            owner_record = await self.find_owner(request.program)
             if owner_record.incarnation == self.incarnation:
                 raise unknown_program(request.program)
             self.forwarded += 1
@@ -254,30 +303,34 @@
         finally:
             await source.aclose()
 
-    async def wait_or_give_up(self, until_ms: float, error: Exception) -> None:
-        """Wait for a successor.
+    async def wait_or_give_up(self, give_up_at_ms: float, error: Exception) -> None:
+        """Pause before the owner is looked up again.
 
         Raises:
-            Refusal: none came in time; whether the call ran is unknown.
+            OwnerUnreachable: the time is up; whether the request ran is unknown.
         """
-        if self.clock.now_ms() >= until_ms:
+        if self.clock.now_ms() >= give_up_at_ms:
             raise OwnerUnreachable() from error
         await self.clock.sleep_ms(OWNER_PAUSE_MS)
 
-    async def at_owner(self, program_id: str, message: Any) -> View:
-        """Ask a program's home one question, across its death."""
-        until_ms = self.clock.now_ms() + OWNER_WAIT_MS
+    async def ask_until_answered(self, program_id: str, message: Any) -> View:
+        """Send a question to a program's owner and, after a takeover, its successor.
+
+        Raises:
+            OwnerUnreachable: no owner answered in time.
+        """
+        give_up_at_ms = self.clock.now_ms() + OWNER_WAIT_MS
         while True:
             try:
-                return await self.ask_owner(program_id, message)
+                return await self.ask_present_owner(program_id, message)
             except OWNER_MOVED_ERRORS as error:
-                await self.wait_or_give_up(until_ms, error)
+                await self.wait_or_give_up(give_up_at_ms, error)
 
-    async def ask_owner(self, program_id: str, message: Any) -> View:
-        """Ask the present home once."""
+    async def ask_present_owner(self, program_id: str, message: Any) -> View:
+        """Send a question to a program's present owner once."""
         if self.is_owned_here(program_id):
             return await self.answer(message)
-        owner_record = await self.locate(program_id)
+        owner_record = await self.find_owner(program_id)
         if owner_record.incarnation != self.incarnation:
             self.forwarded += 1
             return await self.peers(owner_record.address).ask(
@@ -288,7 +341,7 @@
         raise unknown_program(program_id)
 
     async def answer(self, message: Any) -> View:
-        """Answer a question about a program of this home."""
+        """Answer a question about a program that this entry owns."""
         if isinstance(message, BeginProgram):
             return View(view_program(await self.owner.beginnings.begin(message)))
         if isinstance(message, EndProgram):
@@ -300,9 +353,9 @@
         return View(view_program(live.program, confirmed=confirmed))
 
     async def view(self, message: ViewProgram | ViewCall | EndProgram) -> View:
-        """Read or end a program at its home."""
+        """View or end a program at its owner, or view one of its calls."""
         self.open_requests += 1
         try:
-            return await self.at_owner(message.program, message)
+            return await self.ask_until_answered(message.program, message)
         finally:
             self.open_requests -= 1
