--- a/test/request/__init__.py
+++ b/test/request/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what lives as long as a request."""
+"""Tests of the handling of requests and calls."""
--- a/test/request/test_forwarding.py
+++ b/test/request/test_forwarding.py
@@ -1,4 +1,4 @@
-"""What becomes of a call when upstream hosts refuse, break off or hang."""
+"""Forwarding of calls to upstream hosts that refuse, break off or hang."""
 
 import asyncio
 import random
@@ -51,111 +51,111 @@
 UNSAFE = ROUTE._replace(kind=CallKind.UNSAFE, max_attempts=1)
 STREAM = ROUTE._replace(kind=CallKind.STREAM)
 RESUMABLE = STREAM._replace(resumable=True)
-WAIT_S = 0.05
+BREAK_DELAY_S = 0.05
 
 Script = Callable[[Line, Received], Awaitable[None]]
 
 
-async def works(line: Line, request: Received) -> None:
-    """Answer."""
+async def answers_hello(line: Line, request: Received) -> None:
+    """Send a complete answer with the body `hello`."""
     line.say(answer(request))
 
 
-async def refuses(line: Line, request: Received) -> None:
-    """Say that it did not run."""
+async def refuses_unrun(line: Line, request: Received) -> None:
+    """State that the request was not run."""
     line.say(not_run(request))
 
 
-async def misdirected(line: Line, request: Received) -> None:
-    """Be another host than the one that was meant."""
+async def answers_misdirected(line: Line, request: Received) -> None:
+    """Answer that the request was meant for another host, which it did not run."""
     line.say(answer(request, b'', '421 Misdirected Request', b''))
 
 
-async def resets(line: Line, request: Received) -> None:
-    """Run it and lose the answer."""
+async def resets_connection(line: Line, request: Received) -> None:
+    """Run the request and reset the connection before the answer."""
     line.reset()
 
 
-async def fails(line: Line, request: Received) -> None:
-    """Run it and fail."""
+async def answers_with_error(line: Line, request: Received) -> None:
+    """Run the request and answer with status 500."""
     line.say(answer(request, b'no', '500 Internal Server Error'))
 
 
-async def unsigned(line: Line, request: Received) -> None:
-    """Answer like something that is no host of ours."""
+async def answers_unsigned(line: Line, request: Received) -> None:
+    """Answer without the signature of a host, as a foreign server would."""
     line.say(answer(request, more=b''))
 
 
-async def encoded(line: Line, request: Received) -> None:
-    """Answer with other bytes than were asked for."""
+async def answers_encoded(line: Line, request: Received) -> None:
+    """Answer with a content encoding, which was not asked for."""
     signed = b'X-Pollenwalk-Server-Signature: s1\r\nContent-Encoding: gzip\r\n'
     line.say(answer(request, more=signed))
 
 
-async def streams(line: Line, request: Received) -> None:
-    """Stream what follows the last event that the caller has."""
+async def streams_to_end(line: Line, request: Received) -> None:
+    """Stream the events after the last one that the caller has, up to the end."""
     first = int(request.headers.get('last-event-id', '0')) + 1
     events = [chunk(event(number)) for number in range(first, 5)]
     line.say(stream_head(request) + b''.join(events) + chunk(b''))
 
 
-async def streams_two(line: Line, request: Received) -> None:
-    """Break off inside the third event."""
+async def breaks_in_third_event(line: Line, request: Received) -> None:
+    """Stream two events and break off inside the third one."""
     line.say(stream_head(request) + chunk(event(1)) + chunk(event(2) + b'id: 3\nda'))
     await line.writer.drain()
-    await asyncio.sleep(WAIT_S)
+    await asyncio.sleep(BREAK_DELAY_S)
     line.reset()
 
 
-async def streams_head(line: Line, request: Received) -> None:
-    """Break off before the first event."""
+async def breaks_before_first_event(line: Line, request: Received) -> None:
+    """Send the head of a stream and break off before the first event."""
     line.say(stream_head(request))
     await line.writer.drain()
-    await asyncio.sleep(WAIT_S)
+    await asyncio.sleep(BREAK_DELAY_S)
     line.reset()
 
 
 class RecordedReply:
-    """What a caller has got; implements `Reply`."""
+    """Implements `Reply`; records what the caller receives."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Start without an answer."""
         self.started = False
         self.status = 0
         self.body = b''
         self.finished = False
 
     async def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
-        """Take a complete answer."""
+        """Record a complete answer."""
         await self.start(status, headers)
         await self.write(body)
         await self.finish()
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Take a status."""
+        """Record the status."""
         self.started = True
         self.status = status
 
     async def write(self, chunk: bytes) -> None:
-        """Take some bytes."""
+        """Record some bytes of the body."""
         self.body += chunk
 
     async def finish(self) -> None:
-        """Take the end."""
+        """Record the end."""
         self.finished = True
 
 
 class Hosts:
-    """Scripted hosts, asked in the order in which they are given."""
+    """Scripted hosts, which calls are sent to in the order of the scripts."""
 
     def __init__(self, *scripts: Script) -> None:
-        """Run a host for each script."""
+        """Prepare a host for each script."""
         names = (f'i-{number}' for number in range(len(scripts)))
         pairs = zip(names, scripts, strict=True)
         self.hosts = [ScriptedHost(name, script) for name, script in pairs]
 
     async def start(self) -> ForwardingContext:
-        """Start all; one that comes first seems to be the least loaded."""
+        """Start all hosts; the load that they seem to have rises in their order."""
         clock = LoopClock()
         book = HostBook(clock)
         for number, host in enumerate(self.hosts):
@@ -173,13 +173,13 @@
             random.Random(1),
         )
 
-    def ran(self) -> list[int]:
-        """Count the requests that reached each host."""
+    def request_counts(self) -> list[int]:
+        """Return the number of requests that reached each host."""
         return [len(host.received) for host in self.hosts]
 
 
 def make_call(route: Route) -> Call:
-    """Make a call that begins now."""
+    """Return a call on a route that begins now and may take 2 s."""
     now_ms = LoopClock().now_ms()
     headers = [(b'host', b'h'), (b'x-pollenwalk-request-id', b'r1')]
     request = Request(
@@ -196,7 +196,7 @@
 
 
 async def run(hosts: Hosts, route: Route) -> tuple[RecordedReply, Any]:
-    """Run one call; gives what the caller got and the error, if any."""
+    """Run one call; return what the caller received and the error, if any."""
     context = await hosts.start()
     reply = RecordedReply()
     call = make_call(route)
@@ -215,20 +215,24 @@
 
 
 class FirstTurn(StandaloneTurn):
-    """A stream with which a program begins."""
+    """The first turn of a program."""
 
     def __init__(self, body: bytes) -> None:
-        """Be the first one of a program."""
+        """Mark the turn as the beginning of a program."""
         super().__init__(body)
         self.begins_program = True
 
 
 class ProgramAdmissionTest(testtools.TestCase):
-    """Programs that begin while the only host is busy, or idle."""
+    """Programs that begin while the only host is busy or idle."""
 
     async def begin(self, turn: StandaloneTurn, waiting: int) -> tuple[Any, Any, Any]:
-        """Run a turn; gives the hosts, what was learnt, and the error."""
-        hosts = Hosts(streams)
+        """Run a turn while calls wait at the only host.
+
+        Returns:
+            The hosts, the run times that the gateway has learnt, and the error.
+        """
+        hosts = Hosts(streams_to_end)
         context = await hosts.start()
         state = next(context.placing.book.usable('up'))
         now_ms = context.clock.now_ms()
@@ -243,105 +247,105 @@
         return hosts, context.placing.run_times, error
 
     @on_loop
-    async def test_a_new_program_is_turned_back(self) -> None:
+    async def test_new_program_is_refused_at_busy_host(self) -> None:
         hosts, _, error = await self.begin(FirstTurn(b'input'), 20)
-        self.assertEqual([0], hosts.ran())
+        self.assertEqual([0], hosts.request_counts())
         self.assertEqual(RefusalCode.OVERLOADED, error.code)
         self.assertEqual(Outcome.NOT_RUN, error.outcome)
         self.assertTrue(450 <= error.retry_after_ms <= 650, error.retry_after_ms)
 
     @on_loop
-    async def test_a_program_that_has_begun_is_not(self) -> None:
+    async def test_begun_program_is_not_refused(self) -> None:
         hosts, _, error = await self.begin(StandaloneTurn(b'input'), 20)
-        self.assertEqual([1], hosts.ran())
+        self.assertEqual([1], hosts.request_counts())
         self.assertIsNone(error)
 
     @on_loop
-    async def test_a_new_program_begins_where_there_is_room(self) -> None:
+    async def test_new_program_begins_at_idle_host(self) -> None:
         hosts, _, error = await self.begin(FirstTurn(b'input'), 0)
-        self.assertEqual([1], hosts.ran())
+        self.assertEqual([1], hosts.request_counts())
         self.assertIsNone(error)
 
     @on_loop
-    async def test_run_times_are_learnt_without_waits(self) -> None:
-        _, learnt, _ = await self.begin(StandaloneTurn(b'input'), 20)
-        self.assertEqual({}, learnt)
-        _, learnt, _ = await self.begin(StandaloneTurn(b'input'), -1)
-        self.assertEqual(['r'], list(learnt))
+    async def test_run_times_exclude_calls_that_waited(self) -> None:
+        _, run_times, _ = await self.begin(StandaloneTurn(b'input'), 20)
+        self.assertEqual({}, run_times)
+        _, run_times, _ = await self.begin(StandaloneTurn(b'input'), -1)
+        self.assertEqual(['r'], list(run_times))
 
 
 class UnaryTest(testtools.TestCase):
-    """Calls with one answer."""
+    """Unary calls."""
 
     @on_loop
-    async def test_proof_that_it_did_not_run_leads_on(self) -> None:
-        for script in (refuses, misdirected):
+    async def test_call_proven_not_run_is_sent_again(self) -> None:
+        for script in (refuses_unrun, answers_misdirected):
             for route in (ROUTE, UNSAFE):
-                hosts = Hosts(script, works)
+                hosts = Hosts(script, answers_hello)
                 reply, error = await run(hosts, route)
                 self.assertIsNone(error)
                 self.assertEqual(b'hello', reply.body)
-                self.assertEqual([1, 1], hosts.ran())
+                self.assertEqual([1, 1], hosts.request_counts())
 
     @on_loop
-    async def test_an_unsafe_call_is_never_sent_twice(self) -> None:
-        for script in (resets, unsigned, encoded):
-            hosts = Hosts(script, works)
+    async def test_unsafe_call_that_may_have_run_is_sent_once(self) -> None:
+        for script in (resets_connection, answers_unsigned, answers_encoded):
+            hosts = Hosts(script, answers_hello)
             reply, error = await run(hosts, UNSAFE)
             self.assertEqual(Outcome.UNKNOWN, error.outcome)
             self.assertFalse(reply.started)
-            self.assertEqual([1, 0], hosts.ran())
+            self.assertEqual([1, 0], hosts.request_counts())
 
     @on_loop
-    async def test_a_safe_call_is_sent_again(self) -> None:
-        for script in (resets, unsigned, encoded):
-            hosts = Hosts(script, works, works)
+    async def test_safe_call_is_sent_again(self) -> None:
+        for script in (resets_connection, answers_unsigned, answers_encoded):
+            hosts = Hosts(script, answers_hello, answers_hello)
             reply, error = await run(hosts, ROUTE)
             self.assertIsNone(error)
-            self.assertEqual([1, 1, 0], hosts.ran())
+            self.assertEqual([1, 1, 0], hosts.request_counts())
 
     @on_loop
-    async def test_no_more_attempts_than_the_route_allows(self) -> None:
-        hosts = Hosts(resets, resets, works)
+    async def test_attempts_are_limited_by_the_route(self) -> None:
+        hosts = Hosts(resets_connection, resets_connection, answers_hello)
         _, error = await run(hosts, ROUTE)
         self.assertEqual(RefusalCode.UPSTREAM_FAILED, error.code)
         self.assertEqual(Outcome.UNKNOWN, error.outcome)
-        self.assertEqual([1, 1, 0], hosts.ran())
+        self.assertEqual([1, 1, 0], hosts.request_counts())
 
     @on_loop
-    async def test_a_failure_of_the_host_is_passed_on(self) -> None:
-        hosts = Hosts(fails, works)
+    async def test_error_status_of_host_is_forwarded(self) -> None:
+        hosts = Hosts(answers_with_error, answers_hello)
         reply, error = await run(hosts, UNSAFE)
         self.assertIsNone(error)
         self.assertEqual((500, b'no'), (reply.status, reply.body))
 
     @on_loop
-    async def test_all_refuse(self) -> None:
-        hosts = Hosts(refuses, refuses)
+    async def test_refusal_by_all_hosts(self) -> None:
+        hosts = Hosts(refuses_unrun, refuses_unrun)
         _, error = await run(hosts, UNSAFE)
         self.assertEqual(RefusalCode.OVERLOADED, error.code)
         self.assertEqual(Outcome.NOT_RUN, error.outcome)
         self.assertTrue(error.retry_after_ms > 0)
 
     @on_loop
-    async def test_no_host(self) -> None:
+    async def test_upstream_without_hosts(self) -> None:
         _, error = await run(Hosts(), UNSAFE)
         self.assertEqual(RefusalCode.NO_UPSTREAM, error.code)
         self.assertEqual(Outcome.NOT_RUN, error.outcome)
 
     @on_loop
-    async def test_nobody_listens_there(self) -> None:
-        hosts = Hosts(works, works)
+    async def test_unreachable_host_is_skipped(self) -> None:
+        hosts = Hosts(answers_hello, answers_hello)
         context = await hosts.start()
         hosts.hosts[0].stop()
         reply = RecordedReply()
         await run_unary(context, make_call(UNSAFE), reply)
-        self.assertEqual([0, 1], hosts.ran())
+        self.assertEqual([0, 1], hosts.request_counts())
         hosts.hosts[1].stop()
 
     @on_loop
-    async def test_what_the_host_is_told(self) -> None:
-        hosts = Hosts(works)
+    async def test_headers_sent_to_the_host(self) -> None:
+        hosts = Hosts(answers_hello)
         await run(hosts, ROUTE)
         headers = hosts.hosts[0].received[0].headers
         self.assertEqual('i-0', headers['x-pollenwalk-expect-instance'])
@@ -350,18 +354,18 @@
 
 
 class StreamTest(testtools.TestCase):
-    """Streams."""
+    """Streaming calls."""
 
     @on_loop
-    async def test_whole(self) -> None:
-        reply, error = await run(Hosts(streams), STREAM)
+    async def test_complete_stream_is_forwarded(self) -> None:
+        reply, error = await run(Hosts(streams_to_end), STREAM)
         self.assertIsNone(error)
         self.assertEqual(b''.join(map(event, range(1, 5))), reply.body)
         self.assertTrue(reply.finished)
 
     @on_loop
-    async def test_a_cut_stream_is_resumed_without_gap(self) -> None:
-        hosts = Hosts(streams_two, streams)
+    async def test_broken_stream_is_resumed_without_gap(self) -> None:
+        hosts = Hosts(breaks_in_third_event, streams_to_end)
         reply, error = await run(hosts, RESUMABLE)
         self.assertIsNone(error)
         self.assertEqual(b''.join(map(event, range(1, 5))), reply.body)
@@ -369,38 +373,38 @@
         self.assertEqual('2', resumed.headers['last-event-id'])
 
     @on_loop
-    async def test_a_cut_stream_that_stays_cut(self) -> None:
-        hosts = Hosts(streams_two, streams)
+    async def test_stream_that_may_not_be_resumed_stays_cut(self) -> None:
+        hosts = Hosts(breaks_in_third_event, streams_to_end)
         reply, error = await run(hosts, STREAM)
         self.assertIsInstance(error, BrokenAnswer)
         self.assertEqual(event(1) + event(2), reply.body)
         self.assertFalse(reply.finished)
-        self.assertEqual([1, 0], hosts.ran())
+        self.assertEqual([1, 0], hosts.request_counts())
 
     @on_loop
-    async def test_cut_before_the_first_event(self) -> None:
-        hosts = Hosts(streams_head, streams)
+    async def test_stream_broken_before_the_first_event(self) -> None:
+        hosts = Hosts(breaks_before_first_event, streams_to_end)
         reply, error = await run(hosts, RESUMABLE)
         self.assertIsNone(error)
         self.assertTrue(reply.finished)
         self.assertNotIn('last-event-id', hosts.hosts[1].received[0].headers)
 
     @on_loop
-    async def test_resumed_no_more_often_than_allowed(self) -> None:
-        hosts = Hosts(streams_two, streams_two, streams)
+    async def test_resumptions_are_limited_by_the_route(self) -> None:
+        hosts = Hosts(breaks_in_third_event, breaks_in_third_event, streams_to_end)
         reply, error = await run(hosts, RESUMABLE)
         self.assertIsInstance(error, BrokenAnswer)
         self.assertFalse(reply.finished)
-        self.assertEqual([1, 1, 0], hosts.ran())
+        self.assertEqual([1, 1, 0], hosts.request_counts())
 
     @on_loop
-    async def test_a_caller_that_leaves_ends_the_run(self) -> None:
-        gone = asyncio.Event()
+    async def test_cancelled_caller_closes_the_connection(self) -> None:
+        host_saw_end = asyncio.Event()
 
         async def endless(line: Line, request: Received) -> None:
             line.say(stream_head(request) + chunk(event(1)))
             await line.gone()
-            gone.set()
+            host_saw_end.set()
 
         hosts = Hosts(endless)
         context = await hosts.start()
@@ -409,10 +413,10 @@
         running = asyncio.ensure_future(
             run_stream(context, call, turn, RecordedReply()),
         )
-        await asyncio.sleep(WAIT_S)
+        await asyncio.sleep(BREAK_DELAY_S)
         running.cancel()
         async with asyncio.timeout(0.5):
-            await gone.wait()
+            await host_saw_end.wait()
         state = next(iter(context.placing.book.states.values()))
         self.assertEqual(0, state.in_flight)
         hosts.hosts[0].stop()
--- a/test/request/test_program_turn.py
+++ b/test/request/test_program_turn.py
@@ -1,4 +1,4 @@
-"""A turn's reservation while keepers come and go."""
+"""Prompts, reservations and records of turns while keepers come and go."""
 
 import asyncio
 
@@ -19,137 +19,137 @@
 from test.process.test_keepers import World, record
 from test.request.test_forwarding import STREAM
 
-KEPT = STREAM._replace(keeps_history=True)
-MOST = 28
+HISTORY_ROUTE = STREAM._replace(keeps_history=True)
+MAX_TOKENS = 28
 
 
 def make_call(turn: str, budget: int, previous: str = '') -> Call:
-    """Make a turn of a program."""
+    """Return the call of a turn of a program with a token budget."""
     metadata = RequestMetadata(
         turn,
         2000,
         program='p',
         budget=budget,
-        max_tokens=MOST,
+        max_tokens=MAX_TOKENS,
         previous=previous,
     )
     request = Request(b'POST', b'/p/1', '/p/1', 'h', [], turn.encode(), metadata, 0)
-    return Call(request, KEPT, 'up', 1, 2000, 14)
+    return Call(request, HISTORY_ROUTE, 'up', 1, 2000, 14)
 
 
 class TurnTest(testtools.TestCase):
-    """Prompts, budgets and records of turns."""
+    """Turns of a program that three keepers store."""
 
-    def turn(self, group: KeeperGroup, call: Call) -> ProgramTurn:
-        """Make a turn."""
+    def make_turn(self, group: KeeperGroup, call: Call) -> ProgramTurn:
+        """Return a turn that nothing is reserved for yet."""
         return ProgramTurn(group, call, GatewayMetrics())
 
     @virtual
-    async def test_the_prompt_is_the_whole_chain(self) -> None:
+    async def test_prompt_has_the_whole_chain(self) -> None:
         world = World()
         group = await world.three_and_group()
-        first = self.turn(group, make_call('t1', 1000))
+        first = self.make_turn(group, make_call('t1', 1000))
         self.assertEqual(b't1', await first.prepare())
         for number in (1, 2):
             await first.before_event(Event(b'', str(number), b'out'))
         await first.before_end()
         first.close()
-        second = self.turn(group, make_call('t2', 1000, 't1'))
+        second = self.make_turn(group, make_call('t2', 1000, 't1'))
         self.assertEqual(b't1out\nout\nt2', await second.prepare())
         second.close()
 
     @virtual
-    async def test_a_spent_budget_is_refused_before_the_run(self) -> None:
+    async def test_spent_budget_is_refused_before_the_run(self) -> None:
         world = World()
         group = await world.three_and_group()
-        first = self.turn(group, make_call('t1', 2 * MOST - 1))
+        first = self.make_turn(group, make_call('t1', 2 * MAX_TOKENS - 1))
         await first.prepare()
-        second = self.turn(group, make_call('t2', 2 * MOST - 1))
-        error = await self.refusal(second)
+        second = self.make_turn(group, make_call('t2', 2 * MAX_TOKENS - 1))
+        error = await self.refusal_of(second)
         self.assertEqual(RefusalCode.BUDGET_EXHAUSTED, error.code)
         self.assertEqual(Outcome.NOT_RUN, error.outcome)
         second.close()
         first.close()
 
     @virtual
-    async def test_what_was_not_shown_is_given_back(self) -> None:
+    async def test_unused_tokens_are_returned_to_the_budget(self) -> None:
         world = World()
         group = await world.three_and_group()
-        first = self.turn(group, make_call('t1', 2 * MOST - 1))
+        first = self.make_turn(group, make_call('t1', 2 * MAX_TOKENS - 1))
         await first.prepare()
         await first.before_event(Event(b'', '1', b'out'))
         first.close()
         await world.wait(200)
-        second = self.turn(group, make_call('t2', 2 * MOST - 1))
+        second = self.make_turn(group, make_call('t2', 2 * MAX_TOKENS - 1))
         await second.prepare()
         second.close()
 
     @virtual
-    async def test_far_from_the_budget_one_disk_is_enough(self) -> None:
+    async def test_one_keeper_suffices_far_from_the_budget(self) -> None:
         world = World()
         group = await world.three_and_group()
-        turn = self.turn(group, make_call('t1', 10_000))
-        before_ms = world.clock.now_ms()
+        turn = self.make_turn(group, make_call('t1', 10_000))
+        started_ms = world.clock.now_ms()
         world.fabric.slow_ms['gateway', 'b'] = 1000
         world.fabric.slow_ms['gateway', 'c'] = 1000
         await turn.prepare()
         await turn.before_event(Event(b'', '1', b'out'))
-        self.assertTrue(world.clock.now_ms() - before_ms < 100)
+        self.assertTrue(world.clock.now_ms() - started_ms < 100)
         turn.close()
 
     @virtual
-    async def test_beside_another_turn_a_majority_is_asked(self) -> None:
+    async def test_concurrent_turn_waits_for_a_majority(self) -> None:
         world = World()
         group = await world.three_and_group()
-        first = self.turn(group, make_call('t1', 10_000))
+        first = self.make_turn(group, make_call('t1', 10_000))
         await first.prepare()
         world.fabric.slow_ms['gateway', 'b'] = 200
         world.fabric.slow_ms['gateway', 'c'] = 200
-        second = self.turn(group, make_call('t2', 10_000))
-        before_ms = world.clock.now_ms()
+        second = self.make_turn(group, make_call('t2', 10_000))
+        started_ms = world.clock.now_ms()
         await second.prepare()
-        self.assertTrue(world.clock.now_ms() - before_ms >= 200)
+        self.assertTrue(world.clock.now_ms() - started_ms >= 200)
         first.close()
         second.close()
 
     @virtual
-    async def test_near_the_budget_tokens_wait_for_a_majority(self) -> None:
+    async def test_turn_near_the_budget_waits_for_a_majority(self) -> None:
         world = World()
         group = await world.three_and_group()
-        turn = self.turn(group, make_call('t1', MOST))
+        turn = self.make_turn(group, make_call('t1', MAX_TOKENS))
         world.fabric.slow_ms['gateway', 'b'] = 200
         world.fabric.slow_ms['gateway', 'c'] = 200
-        before_ms = world.clock.now_ms()
+        started_ms = world.clock.now_ms()
         await turn.prepare()
         await turn.before_event(Event(b'', '1', b'out'))
-        self.assertTrue(world.clock.now_ms() - before_ms > 200)
+        self.assertTrue(world.clock.now_ms() - started_ms > 200)
         turn.close()
 
     @virtual
-    async def test_a_lone_turn_near_its_budget_asks_once(self) -> None:
+    async def test_lone_turn_near_its_budget_asks_once(self) -> None:
         world = World()
         group = await world.three_and_group()
-        turn = self.turn(group, make_call('t1', MOST))
+        turn = self.make_turn(group, make_call('t1', MAX_TOKENS))
         world.fabric.slow_ms['gateway', 'b'] = 200
         world.fabric.slow_ms['gateway', 'c'] = 200
-        before_ms = world.clock.now_ms()
+        started_ms = world.clock.now_ms()
         await turn.prepare()
-        took_ms = world.clock.now_ms() - before_ms
+        took_ms = world.clock.now_ms() - started_ms
         self.assertTrue(400 <= took_ms < 600, took_ms)
         turn.close()
 
     @virtual
-    async def test_a_turn_found_beyond_its_budget_is_cut(self) -> None:
-        """One keeper missed what the two others know."""
+    async def test_turn_found_to_exceed_its_budget_is_cut(self) -> None:
+        """The first keeper to answer lacks turns that the two others have."""
         world = World()
         group = await world.three_and_group()
         for number in range(5):
-            spent = SettleTokens('p', f'old{number}', MOST, 1000)
+            spent = SettleTokens('p', f'old{number}', MAX_TOKENS, 1000)
             for name in ('b', 'c'):
                 await world.keepers[name].state.keep(spent)
         world.fabric.slow_ms['gateway', 'b'] = 200
         world.fabric.slow_ms['gateway', 'c'] = 200
-        turn = self.turn(group, make_call('t1', 5 * MOST))
+        turn = self.make_turn(group, make_call('t1', 5 * MAX_TOKENS))
         await turn.prepare()
         await turn.before_event(Event(b'', '1', b'out'))
         await world.wait(500)
@@ -158,16 +158,16 @@
         turn.close()
 
     @virtual
-    async def test_the_end_waits_for_a_majority(self) -> None:
+    async def test_end_waits_for_a_majority(self) -> None:
         world = World()
         group = await world.three_and_group()
-        turn = self.turn(group, make_call('t1', 10_000))
+        turn = self.make_turn(group, make_call('t1', 10_000))
         await turn.prepare()
         turn.close()
         await world.wait(200)
         world.fabric.cut('gateway', 'b')
         world.fabric.cut('gateway', 'c')
-        second = self.turn(group, make_call('t2', 10_000))
+        second = self.make_turn(group, make_call('t2', 10_000))
         await second.prepare()
         await second.before_event(Event(b'', '1', b'out'))
         ending = asyncio.ensure_future(second.before_end())
@@ -180,11 +180,11 @@
         second.close()
 
     @virtual
-    async def test_a_finished_turn_is_kept_late(self) -> None:
-        """Found on a grown day: ready answers were cut after a second."""
+    async def test_finished_turn_is_stored_late(self) -> None:
+        """Guards against complete answers being cut after a second without keepers."""
         world = World()
         group = await world.three_and_group()
-        turn = self.turn(group, make_call('t1', 10_000))
+        turn = self.make_turn(group, make_call('t1', 10_000))
         await turn.prepare()
         await turn.before_event(Event(b'', '1', b'out'))
         for name in 'abc':
@@ -199,26 +199,28 @@
         turn.close()
 
     @virtual
-    async def test_callers_outlast_a_restart(self) -> None:
-        """Whoever comes back as told is served when a keeper is back."""
+    async def test_retries_outlast_a_restart(self) -> None:
+        """A caller that retries when told to is served once a keeper is back."""
         world = World()
         group = await world.three_and_group()
         for name in ('b', 'c'):
             await world.kill(name)
         restarted = asyncio.ensure_future(self.restart(world, 'b', 2500))
-        refusals = 0
-        while await self.is_refused(world, self.turn(group, make_call('t', 10_000))):
-            refusals += 1
+        refusal_count = 0
+        while await self.is_refused(
+            world, self.make_turn(group, make_call('t', 10_000))
+        ):
+            refusal_count += 1
         self.assertTrue(restarted.done())
-        self.assertTrue(refusals <= 5, refusals)
+        self.assertTrue(refusal_count <= 5, refusal_count)
 
     async def restart(self, world: World, name: str, after_ms: float) -> None:
-        """Start a keeper again, later."""
+        """Start a keeper again after a time."""
         await world.wait(after_ms)
         await world.keeper(name)
 
     async def is_refused(self, world: World, turn: ProgramTurn) -> bool:
-        """Try a turn; after a refusal wait as long as it says."""
+        """Prepare a turn; after a refusal wait as long as it asks, return True."""
         try:
             await turn.prepare()
         except Refusal as refusal:
@@ -229,8 +231,11 @@
         return False
 
     @virtual
-    async def test_a_keeper_listed_meanwhile_changes_nothing(self) -> None:
-        """Found in an incident: the majority grew while one was awaited."""
+    async def test_keeper_listed_meanwhile_is_not_awaited(self) -> None:
+        """Guards against waiting for a majority that counts keepers listed later.
+
+        With one keeper down, that majority was never reached.
+        """
         world = World()
         group = await world.three_and_group()
         await world.kill('b')
@@ -241,22 +246,22 @@
         await reservation.recorded
 
     @virtual
-    async def test_no_majority(self) -> None:
+    async def test_refused_without_a_majority(self) -> None:
         world = World()
         group = await world.three_and_group()
         await world.kill('b')
         await world.kill('c')
-        turn = self.turn(group, make_call('t1', 1000))
-        error = await self.refusal(turn)
+        turn = self.make_turn(group, make_call('t1', 1000))
+        error = await self.refusal_of(turn)
         self.assertEqual(RefusalCode.KEEPERS_UNAVAILABLE, error.code)
         self.assertEqual(Outcome.NOT_RUN, error.outcome)
         turn.close()
 
     @virtual
-    async def test_a_turn_that_cannot_be_kept_has_run(self) -> None:
+    async def test_turn_not_stored_has_unknown_outcome(self) -> None:
         world = World()
         group = await world.three_and_group()
-        turn = self.turn(group, make_call('t1', 1000))
+        turn = self.make_turn(group, make_call('t1', 1000))
         await turn.prepare()
         await turn.before_event(Event(b'', '1', b'out'))
         await world.kill('b')
@@ -268,17 +273,17 @@
         turn.close()
 
     @virtual
-    async def test_a_forged_previous_turn(self) -> None:
+    async def test_forged_previous_turn_is_refused(self) -> None:
         world = World()
         group = await world.three_and_group()
         await group.keep(record('real'))
-        turn = self.turn(group, make_call('t1', 1000, 'forged'))
-        error = await self.refusal(turn)
+        turn = self.make_turn(group, make_call('t1', 1000, 'forged'))
+        error = await self.refusal_of(turn)
         self.assertEqual(RefusalCode.UNKNOWN_TURN, error.code)
         turn.close()
 
-    async def refusal(self, turn: ProgramTurn) -> Refusal:
-        """Prepare a turn that must be refused."""
+    async def refusal_of(self, turn: ProgramTurn) -> Refusal:
+        """Prepare a turn and return its refusal; fail if it is not refused."""
         try:
             await turn.prepare()
         except Refusal as refusal:
