--- a/pollenwalk/process/acceptance.py
+++ b/pollenwalk/process/acceptance.py
@@ -14,7 +14,7 @@
 
 from pollenwalk.errors import StoreConflict, StoreUnavailable
 from pollenwalk.process.clock import Clock
-from pollenwalk.process.following import follow
+from pollenwalk.process.prefix_watcher import watch_prefix
 from pollenwalk.process.store import ABSENT, ObjectStore, StoredObject
 from pollenwalk.version.config import (
     Accepted,
@@ -111,7 +111,7 @@
 
     async def follow_statuses(self) -> None:
         """Follow the acceptance statuses and apply them, until cancelled."""
-        await follow(
+        await watch_prefix(
             self.store,
             self.clock,
             STATUS_PREFIX,
@@ -145,7 +145,7 @@
 
     async def follow_desired_resources(self) -> None:
         """Follow the desired resources, until cancelled."""
-        await follow(self.store, self.clock, DESIRED_PREFIX, self.record_desired)
+        await watch_prefix(self.store, self.clock, DESIRED_PREFIX, self.record_desired)
 
     async def evaluate_desired_resources(
         self, is_responsible: Callable[[], bool]
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -12,14 +12,14 @@
 from pollenwalk.errors import Outcome, Refusal, RefusalCode, StoreUnavailable
 from pollenwalk.platform.documents import CONFIGURATION_PREFIX, HOSTS_PREFIX
 from pollenwalk.policy.host_choice import EarliestFinish
+from pollenwalk.process.call_placer import CallPlacer
 from pollenwalk.process.clock import Clock
-from pollenwalk.process.following import Follower, Handlers
 from pollenwalk.process.gateway_metrics import GatewayMetrics
-from pollenwalk.process.host_book import HostBook
+from pollenwalk.process.host_table import HostTable
 from pollenwalk.process.keeper_group import KeeperGroup
 from pollenwalk.process.keeper_links import KeeperLinks
-from pollenwalk.process.members import KEEPERS
-from pollenwalk.process.placing import Placing
+from pollenwalk.process.keeper_members import KEEPERS_PREFIX
+from pollenwalk.process.prefix_watcher import PrefixWatcher, WatchHandlers
 from pollenwalk.process.store import ObjectStore
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.request.call_sender import ForwardingContext
@@ -88,19 +88,19 @@
         self.clock = clock
         self.tasks = TaskSet()
         self.active_configuration = ActiveConfiguration()
-        self.book = HostBook(clock)
+        self.host_table = HostTable(clock)
         self.pool = LinkPool(clock)
         self.stopping = False
-        placing = Placing(
+        call_placer = CallPlacer(
             clock,
-            self.book,
+            self.host_table,
             EarliestFinish(rng),
             settings.zone,
             settings.regions,
         )
         self.metrics = GatewayMetrics()
         self.forwarding_context = ForwardingContext(
-            clock, self.pool, placing, self.metrics, rng
+            clock, self.pool, call_placer, self.metrics, rng
         )
         self.links = KeeperLinks(
             network,
@@ -119,9 +119,9 @@
     @property
     def ready(self) -> bool:
         """Tell whether new callers may come."""
-        known = self.active_configuration.current is not None and self.book.listed
-        known = known and self.links.members.listed
-        decided = self.links.undecided_ms < UNDECIDED_MS
+        known = self.active_configuration.current is not None and self.host_table.loaded
+        known = known and self.links.members.loaded
+        decided = self.links.without_majority_ms < UNDECIDED_MS
         return known and decided and not self.stopping
 
     def max_body_bytes(self) -> int:
@@ -132,21 +132,21 @@
     async def start(self) -> None:
         """Follow the store."""
         relay = self.keepers.read_prefix
-        configuration = Handlers(
+        configuration = WatchHandlers(
             self.active_configuration.apply,
-            self.book.store_answered,
+            self.host_table.store_answered,
             lambda error: self.store_failed('configuration', error),
             relay,
         )
-        hosts = Handlers(
-            self.book.take,
-            self.hosts_listed,
+        hosts = WatchHandlers(
+            self.host_table.apply_change,
+            self.on_hosts_read,
             lambda error: self.store_failed('hosts', error),
             relay,
         )
-        keepers = Handlers(
-            self.links.members.take,
-            self.links.members.mark_listed,
+        keepers = WatchHandlers(
+            self.links.members.apply_change,
+            self.links.members.mark_loaded,
             lambda error: self.store_failed('keepers', error),
             relay,
         )
@@ -154,16 +154,16 @@
         members_wait_ms = self.settings.leave_notice_ms * MEMBERS_SHARE
         self.follow(CONFIGURATION_PREFIX, configuration, wait_ms)
         self.follow(HOSTS_PREFIX, hosts, members_wait_ms)
-        self.follow(KEEPERS, keepers, members_wait_ms)
+        self.follow(KEEPERS_PREFIX, keepers, members_wait_ms)
 
     def follow(
         self,
         prefix: str,
-        handlers: Handlers,
+        handlers: WatchHandlers,
         wait_ms: float,
     ) -> None:
         """Follow one kind of objects for as long as the process lives."""
-        follower = Follower(
+        follower = PrefixWatcher(
             self.store,
             self.clock,
             prefix,
@@ -172,16 +172,16 @@
         )
         self.tasks.spawn(follower.run(), f'follow {prefix}')
 
-    def hosts_listed(self) -> None:
+    def on_hosts_read(self) -> None:
         """Note that the list of hosts is fresh."""
-        self.book.listed = True
-        self.book.store_answered()
-        self.pool.drop(set(self.book.states))
+        self.host_table.loaded = True
+        self.host_table.store_answered()
+        self.pool.drop(set(self.host_table.states))
 
     def store_failed(self, what: str, error: StoreUnavailable) -> None:
         """Note that the store gave no answer, so that lists may be stale."""
-        self.book.store_failed()
-        self.metrics.store_lost(what)
+        self.host_table.store_failed()
+        self.metrics.count_store_failure(what)
         logger.warning('store_unavailable', what=what, reason=error.message)
 
     def refresh_metrics(self) -> None:
@@ -189,9 +189,9 @@
         current = self.active_configuration.current
         links = self.links.ordered()
         self.metrics.version.set({}, current.version if current else 0)
-        self.metrics.hosts.set({}, len(self.book.states))
+        self.metrics.hosts.set({}, len(self.host_table.states))
         self.metrics.keepers.set({}, len(links))
-        lost = sum(link.lost_ms is not None for link in links)
+        lost = sum(link.lost_since_ms is not None for link in links)
         self.metrics.keepers_lost.set({}, lost)
 
     async def stop(self) -> None:
@@ -216,7 +216,7 @@
             raise
         finally:
             took_ms = self.clock.now_ms() - request.arrived_ms
-            self.metrics.ended(str(call.route.kind), outcome, took_ms)
+            self.metrics.count_request(str(call.route.kind), outcome, took_ms)
             logger.info(
                 'ended',
                 request=call.id,
--- a/pollenwalk/request/call_sender.py
+++ b/pollenwalk/request/call_sender.py
@@ -15,10 +15,10 @@
 from pollenwalk.platform.headers import added_headers, resume_header
 from pollenwalk.policy.host_choice import CallCost
 from pollenwalk.policy.program_admission import is_wait_acceptable, retry_delay_ms
+from pollenwalk.process.call_placer import CallPlacer
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.gateway_metrics import GatewayMetrics
-from pollenwalk.process.host_book import HostState
-from pollenwalk.process.placing import Placing
+from pollenwalk.process.host_table import HostState
 from pollenwalk.request.call_state import Call
 from pollenwalk.request.exchange import Exchange
 from pollenwalk.request.http_messages import Headers
@@ -39,14 +39,14 @@
     Attributes:
         clock: the process's clock.
         pool: idle connections to hosts.
-        placing: chooses hosts and learns run times.
+        call_placer: chooses hosts and learns run times.
         metrics: the gateway's metrics.
         rng: the process's random number generator.
     """
 
     clock: Clock
     pool: LinkPool
-    placing: Placing
+    call_placer: CallPlacer
     metrics: GatewayMetrics
     rng: random.Random
 
@@ -67,7 +67,7 @@
         self.context = context
         self.call = call
         self.body = body
-        self.cost = CallCost(context.placing.run_ms(call))
+        self.cost = CallCost(context.call_placer.expected_run_ms(call))
         self.runs = 0
         self.sent_ms = 0.0
         self.found_no_free_slot = False
@@ -81,8 +81,8 @@
                 for it.
         """
         call = self.call
-        placing = self.context.placing
-        wait_ms = placing.least_wait_ms(call, self.cost)
+        call_placer = self.context.call_placer
+        wait_ms = call_placer.min_wait_ms(call, self.cost)
         if is_wait_acceptable(wait_ms, call.route.target_ms, call.route.priority):
             return
         remaining_ms = call.remaining_ms(self.context.clock.now_ms())
@@ -96,7 +96,7 @@
             priority=call.route.priority,
             retry_after_ms=round(retry_after_ms),
         )
-        self.context.metrics.sent('turned_back')
+        self.context.metrics.count_send('turned_back')
         raise Refusal(
             RefusalCode.OVERLOADED,
             f'upstream {call.upstream} is too busy for one more program',
@@ -112,7 +112,7 @@
         if self.found_no_free_slot:
             return
         run_ms = self.context.clock.now_ms() - self.sent_ms
-        self.context.placing.ran(self.call, run_ms)
+        self.context.call_placer.record_run_time(self.call, run_ms)
 
     def may_send(self) -> bool:
         """Return whether the call may be sent to one more host."""
@@ -158,7 +158,9 @@
         target_ms = self.call.route.target_ms
         give_up_at_ms = self.call.request.arrived_ms + target_ms * REFUSED_HOLD_SHARE
         while True:
-            state = self.context.placing.choose(self.call, self.cost, self.tried_hosts)
+            state = self.context.call_placer.choose_host(
+                self.call, self.cost, self.tried_hosts
+            )
             if state is not None:
                 return state
             if (
@@ -192,10 +194,10 @@
             BrokenAnswer: the host may have run the call but gave no valid head.
         """
         self.sent_ms = self.context.clock.now_ms()
-        self.found_no_free_slot = state.load(self.sent_ms) >= state.listed.slots
+        self.found_no_free_slot = state.load(self.sent_ms) >= state.registration.slots
         state.in_flight += 1
         try:
-            link = await self.context.pool.take(state.listed)
+            link = await self.context.pool.take(state.registration)
         except BaseException:
             state.in_flight -= 1
             raise
@@ -228,16 +230,14 @@
         head = await exchange.link.head(self.call.id)
         exchange.head = head
         if head.load is not None:
-            state.note_load(head.load, self.context.clock.now_ms())
+            state.record_load(head.load, self.context.clock.now_ms())
         if head.refused:
             self.runs -= 1
             await exchange.body()
             raise NotSent(f'refused with status {head.status}')
         if not head.signed or head.encoded:
-            raise BrokenAnswer(
-                f'answer with status {head.status} is unsigned or encoded'
-            )
-        self.context.metrics.sent('answered')
+            raise BrokenAnswer(f'status {head.status} of an unsigned or encoded answer')
+        self.context.metrics.count_send('answered')
 
     def log_send(self, state: HostState) -> None:
         """Log the chosen host and the load that it was chosen by."""
@@ -245,7 +245,7 @@
         logger.info(
             'sent',
             request=self.call.id,
-            host=state.listed.id,
+            host=state.registration.id,
             load=round(state.load(now_ms), 1),
             load_age_ms=state.report_age_ms(now_ms),
             run=self.runs + 1,
@@ -255,7 +255,7 @@
     def build_headers(self, state: HostState, last_event: str) -> Headers:
         """Return the caller's headers with those added for one host."""
         remaining_ms = self.call.remaining_ms(self.context.clock.now_ms())
-        added = added_headers(state.listed.id, remaining_ms, None)
+        added = added_headers(state.registration.id, remaining_ms, None)
         request_headers = self.call.request.headers
         if last_event:
             resume = resume_header(last_event)
@@ -265,25 +265,25 @@
 
     def handle_not_run(self, state: HostState, reason: str) -> None:
         """Exclude a host that did not run the call."""
-        self.tried_hosts.add(state.listed.id)
-        self.context.placing.bounced(state, reason)
-        self.context.metrics.sent('not_run')
+        self.tried_hosts.add(state.registration.id)
+        self.context.call_placer.record_rejection(state, reason)
+        self.context.metrics.count_send('not_run')
         logger.info(
             'not_run',
             request=self.call.id,
-            host=state.listed.id,
+            host=state.registration.id,
             reason=reason,
         )
 
     def handle_broken_answer(self, state: HostState, reason: str) -> None:
         """Exclude a host that may have run the call but gave no valid answer."""
-        self.tried_hosts.add(state.listed.id)
-        state.failed(self.context.clock.now_ms())
-        self.context.metrics.sent('broken')
+        self.tried_hosts.add(state.registration.id)
+        state.record_failure(self.context.clock.now_ms())
+        self.context.metrics.count_send('broken')
         logger.warning(
             'broken_answer',
             request=self.call.id,
-            host=state.listed.id,
+            host=state.registration.id,
             reason=reason,
             runs=self.runs,
         )
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -140,7 +140,7 @@
             Refusal: neither the store nor the witnesses answered in time.
         """
         try:
-            await self.context.recorder.confirm(INTENT_TIMEOUT_MS)
+            await self.context.recorder.confirm_ownership(INTENT_TIMEOUT_MS)
         except TimeoutError as error:
             raise store_unavailable() from error
 
--- a/pollenwalk/request/program_turn.py
+++ b/pollenwalk/request/program_turn.py
@@ -55,7 +55,7 @@
             return await self.prepare_within_budget()
         except Refusal as refusal:
             program = self.call.request.metadata.program
-            raise self.group.returns.advise(refusal, program) from refusal
+            raise self.group.retry_advisor.advise(refusal, program) from refusal
 
     async def prepare_within_budget(self) -> bytes:
         """Reserve the turn's tokens and build the prompt at the same time."""
@@ -75,7 +75,7 @@
         request = self.call.request
         if not self.call.route.keeps_history or not request.metadata.previous:
             return request.body
-        chain = await self.group.chain(request.metadata.previous)
+        chain = await self.group.load_chain(request.metadata.previous)
         return build_prompt(chain, request.body)
 
     async def before_event(self, event: Event) -> None:
@@ -131,7 +131,9 @@
         )
         started_ms = self.group.clock.now_ms()
         # Copies made by an earlier try count, since a record never changes.
-        storing = self.group.insist(lambda: self.group.keep(record))
+        storing = self.group.retry_until_acknowledged(
+            lambda: self.group.store_turn(record)
+        )
         replicas = await self.await_after_start(storing)
         took_ms = self.group.clock.now_ms() - started_ms
         self.metrics.keep_seconds.observe({}, took_ms / MS_PER_SECOND)
--- a/pollenwalk/request/reservation.py
+++ b/pollenwalk/request/reservation.py
@@ -6,9 +6,9 @@
 
 from pollenwalk.errors import Refusal, RefusalCode
 from pollenwalk.process.clock import MS_PER_SECOND
-from pollenwalk.process.copies import keepers_unavailable
 from pollenwalk.process.gateway_metrics import GatewayMetrics
 from pollenwalk.process.keeper_group import KeeperGroup
+from pollenwalk.process.turn_replication import keepers_unavailable
 from pollenwalk.program.ledger import (
     AnswerCount,
     BudgetDecision,
@@ -84,7 +84,7 @@
         Raises:
             Refusal: the budget is spent.
         """
-        await self.group.insist(self.wait_or_record_again)
+        await self.group.retry_until_acknowledged(self.wait_or_record_again)
 
     async def wait_or_record_again(self) -> None:
         """Wait for the recording; start a new one if keepers were unavailable.
@@ -148,10 +148,13 @@
         copies_made = 0
         # Read only once, since the list of keepers may change while they answer.
         majority = self.group.links.majority
-        async for spent in self.group.answers(self.message):
+        async for spent in self.group.ask_all(self.message):
             copies_made += 1
             self.add_answer(spent, known_entries)
-            if len(known_entries) >= majority and copies_made >= self.group.copies:
+            if (
+                len(known_entries) >= majority
+                and copies_made >= self.group.required_copies
+            ):
                 return known_entries
         raise keepers_unavailable(
             f'{len(known_entries)} of the required {majority} keepers know the budget'
@@ -165,7 +168,7 @@
         if not spent.complete:
             return
         known_entries.append(spent.entries)
-        if self.permitted.done() or not self.group.links.can_decide:
+        if self.permitted.done() or not self.group.links.has_majority:
             return
         decision = self.decide(known_entries)
         if self.has_headroom(decision, len(known_entries)):
--- a/pollenwalk/request/streaming.py
+++ b/pollenwalk/request/streaming.py
@@ -153,7 +153,7 @@
             if self.sender.may_send():
                 return False
             raise
-        exchange.state.worked()
+        exchange.state.record_success()
         return True
 
     async def forward_exchange(self, exchange: Exchange) -> None:
@@ -190,7 +190,7 @@
         logger.info(
             'stream_begins',
             request=self.call.id,
-            host=exchange.state.listed.id,
+            host=exchange.state.registration.id,
             status=exchange.head.status,
             after_ms=round(took_ms),
         )
