--- a/pollenwalk/policy/host_choice.py
+++ b/pollenwalk/policy/host_choice.py
@@ -4,13 +4,15 @@
 from collections.abc import Iterable
 from typing import NamedTuple, Protocol
 
-# Assumed round trips to hosts outside the gateway's zone. They are not measured.
+# Round trips to hosts outside the gateway's zone, assumed as no better figures are
+# known.
 SAME_REGION_ROUND_TRIP_MS = 1.0
 CROSS_REGION_ROUND_TRIP_MS = 60.0
-# Estimates that differ by no more than this count as equal. Choosing at random
-# among them keeps several gateways from choosing the same host at the same time.
+# Estimates that exceed the best one by no more than this count as equal to it.
+# Choosing at random among them keeps several gateways from choosing the same host
+# at the same time.
 TIE_TOLERANCE_MS = 4.0
-# How much longer a call runs at a full host than at an idle one, as a share.
+# Share by which a call's run time grows at a full host.
 FULL_HOST_SLOWDOWN = 0.2
 
 
--- a/pollenwalk/policy/placement.py
+++ b/pollenwalk/policy/placement.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple, Protocol
 
-# Assumed round trips to hosts outside the entry's zone. They are not measured.
+# Assumed round trips to hosts outside the entry's zone.
 SAME_REGION_ROUND_TRIP_MS = 1.0
 CROSS_REGION_ROUND_TRIP_MS = 60.0
-# How many times prefill counts, see `ExpectedFinish`.
+# Weight of prefill time in `ExpectedFinish`.
 PREFILL_WEIGHT = 30.0
 
 
--- a/pollenwalk/policy/slot_queue.py
+++ b/pollenwalk/policy/slot_queue.py
@@ -6,7 +6,8 @@
 from pollenwalk.errors import Refusal, RefusalCode
 from pollenwalk.process.clock import Clock
 
-# A waiting call rises by one priority level each time this much time has passed.
+# A waiting call becomes one priority level more urgent each time it has waited for
+# this long.
 AGING_MS_PER_LEVEL = 10_000
 RETRY_AFTER_MS = 250
 
@@ -35,8 +36,8 @@
     """Return the sort key of a waiting call; the lowest key runs next.
 
     Calls are ordered by priority level with aging, then by the start of their
-    program, then by deadline. Within a level, programs that have begun are
-    therefore finished before newer ones.
+    program, then by deadline. Within a level, calls of older programs
+    therefore run before those of newer ones.
     """
     waited_ms = now_ms - call.arrived_ms
     level = call.level - waited_ms // AGING_MS_PER_LEVEL
@@ -62,7 +63,7 @@
         self.waiting: list[WaitingCall] = []
 
     def resize(self, slots: int, queue_limit: int) -> None:
-        """Set the number of slots and the length of the queue."""
+        """Set the number of slots and the maximum length of the queue."""
         self.slots = slots
         self.queue_limit = queue_limit
         self.fill_slots()
@@ -119,7 +120,7 @@
         self.fill_slots()
 
     def fill_slots(self) -> None:
-        """Give free slots to the waiting calls that are most urgent."""
+        """Assign the free slots to the most urgent waiting calls."""
         while self.waiting and self.running < self.slots:
             now_ms = self.clock.now_ms()
             call = min(self.waiting, key=lambda one: urgency(one, now_ms))
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -123,7 +123,7 @@
 
         Raises:
             ConnectionLost: the sidecar did not answer; the call may have run.
-            Refusal: from the sidecar.
+            Refusal: the sidecar refused the call, or the call failed there.
         """
         if connection is None:
             connection = await self.context.peers(host.address).connected()
@@ -173,7 +173,7 @@
         )
 
     async def handle_lost_host(self, host: HostView) -> None:
-        """Exclude the host that was lost for a while, and back off.
+        """Pause a host whose connection was lost, and back off.
 
         Raises:
             Refusal: no retry is left for this caller and upstream.
@@ -183,9 +183,9 @@
         await self.back_off(host)
 
     async def handle_refusal(self, host: HostView, refusal: Refusal) -> None:
-        """Exclude the host that refused the call for a while, and back off.
+        """Pause a host that refused the call, and back off.
 
-        A host that is stopping is excluded as leaving.
+        A host that is stopping is marked as leaving instead.
 
         Raises:
             Refusal: no attempt is left, or no retry for this caller and upstream.
--- a/pollenwalk/request/call.py
+++ b/pollenwalk/request/call.py
@@ -48,7 +48,8 @@
     """A call that waits for its turn or runs.
 
     Attributes:
-        digest: of what the call asks for, to recognise a reused key.
+        digest: digest of what the call asks for; it differs if a key is used again
+            for another call.
         deadline_ms: when the caller stops waiting, on the process's clock.
         stream: the tokens generated so far.
         attempts: attempts that have failed.
--- a/pollenwalk/request/call_sender.py
+++ b/pollenwalk/request/call_sender.py
@@ -59,7 +59,8 @@
         runs: number of hosts that have run the call or may have.
         sent_ms: when the call was last sent, on the process's clock.
         found_no_free_slot: whether the last host seemed to have no free slot.
-        tried_hosts: ids of the hosts that the call is not sent to again.
+        tried_hosts: ids of the hosts tried before; emptied when all of them are to
+            be tried again.
     """
 
     def __init__(self, context: ForwardingContext, call: Call, body: bytes) -> None:
--- a/pollenwalk/request/entry_context.py
+++ b/pollenwalk/request/entry_context.py
@@ -27,7 +27,7 @@
         placement: the policy that chooses a host.
         retries: the retry budgets.
         recorder: writes records to the journal and applies them.
-        tracer: makes the spans of calls.
+        tracer: creates the spans of calls.
     """
 
     incarnation: str
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -109,7 +109,8 @@
         """Return a refusal if it is final; otherwise back off and return None.
 
         Raises:
-            Refusal: the call did not run, and no attempt or retry is left.
+            Refusal: the call did not run and no attempt is left, or no retry is
+                left.
         """
         not_run = refusal.outcome == Outcome.NOT_RUN
         if not not_run:
--- a/pollenwalk/request/reservation.py
+++ b/pollenwalk/request/reservation.py
@@ -63,7 +63,7 @@
 
     def propagate_result(self, recorded: asyncio.Future[None]) -> None:
         """Complete `permitted` with the result of the recording."""
-        # The exception is always read, as asyncio reports one that never is.
+        # Reading the exception keeps asyncio from logging it as never retrieved.
         error = None if recorded.cancelled() else recorded.exception()
         if self.permitted.done():
             return
@@ -117,7 +117,8 @@
         decision = self.decide(known_entries)
         exhausted = decision.settled_tokens + self.max_tokens > self.budget
         if not (exhausted or self.has_headroom(decision, len(known_entries))):
-            # A second round sees the turns that were reserved during the first.
+            # A second round sees the turns that were reserved during the first. It
+            # is left out where settled turns alone use up the budget.
             known_entries.extend(await self.ask_majority())
             decision = self.decide(known_entries)
         took_ms = self.group.clock.now_ms() - begun_ms
@@ -136,7 +137,7 @@
             raise Refusal(RefusalCode.BUDGET_EXHAUSTED, 'the budget is spent')
 
     async def ask_majority(self) -> list[list[TokenEntry]]:
-        """Reserve at all keepers and return the entries that a majority know.
+        """Reserve at all keepers and return the entries that a majority knows.
 
         Returns:
             The entries of each keeper whose records are complete.
