--- a/pollenwalk/process/call_placer.py
+++ b/pollenwalk/process/call_placer.py
@@ -4,8 +4,8 @@
     CallCost,
     Candidate,
     HostChoice,
+    queue_wait_ms,
     round_trip_ms,
-    wait_ms,
 )
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.host_table import SMOOTHING, HostState, HostTable
@@ -76,7 +76,7 @@
         states = self.host_table.available_hosts(call.upstream)
         candidates = (self.candidate(state, now_ms) for state in states)
         waits = (
-            round_trip_ms(one) + wait_ms(one, cost)
+            round_trip_ms(one) + queue_wait_ms(one, cost)
             for one in candidates
             if not one.suspected
         )
--- a/pollenwalk/process/entry_service.py
+++ b/pollenwalk/process/entry_service.py
@@ -109,7 +109,7 @@
         Raises:
             OwnerUnreachable: it does not; whether a call ran is unknown here.
         """
-        if self.entry.routing.is_here(program_id):
+        if self.entry.routing.is_owned_here(program_id):
             return
         owner_record = self.entry.directory.resolve_owner(owner_of(program_id))
         if owner_record is None or owner_record.incarnation != self.entry.incarnation:
--- a/pollenwalk/process/program_owner.py
+++ b/pollenwalk/process/program_owner.py
@@ -26,7 +26,7 @@
 from pollenwalk.program.records import Ended, Forfeited, Record
 from pollenwalk.request.call import LiveCall, check_request
 from pollenwalk.request.entry_context import EntryContext
-from pollenwalk.request.execution import Execution, doubted
+from pollenwalk.request.execution import Execution, with_unknown_outcome
 
 END_COMMIT_TIMEOUT_MS = 2000
 RENEW_MS = 5000
@@ -139,7 +139,7 @@
         except Refusal as refusal:
             if await self.verify_not_run(refusal, request):
                 raise
-            raise doubted(refusal) from refusal
+            raise with_unknown_outcome(refusal) from refusal
 
     async def verify_not_run(self, refusal: Refusal, request: CallProgram) -> bool:
         """Return whether a refusal's outcome can be passed on unchanged.
@@ -270,10 +270,10 @@
             await live.wait_for_predecessors(call)
             call.finish(await Execution(self.context, live, call).run())
         except PollenwalkError as error:
-            call.refuse(error)
+            call.fail(error)
         finally:
             if not call.done.done():
-                call.refuse(cancelled_refusal(call) if live.ending else fenced_error())
+                call.fail(cancelled_refusal(call) if live.ending else fenced_error())
             live.calls.pop(call.request.key, None)
             live.tasks.pop(call.request.key, None)
             live.last_used_ms = self.context.clock.now_ms()
@@ -283,7 +283,7 @@
         """Refuse all open calls after a takeover, to be retried at the successor."""
         for live in self.live.values():
             for call in list(live.calls.values()):
-                call.refuse(fenced_error())
+                call.fail(fenced_error())
             for task in list(live.tasks.values()):
                 task.cancel()
 
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -77,7 +77,7 @@
         except Refusal as refusal:
             await self.record_ending(live, call, intent, refusal)
         except PollenwalkError as error:
-            call.refuse(error)
+            call.fail(error)
         finally:
             live.calls.pop(intent.key, None)
             live.tasks.pop(intent.key, None)
@@ -100,7 +100,7 @@
         if call.stream.followers:
             await self.owner.run(live, call)
             return
-        call.refuse(
+        call.fail(
             Refusal(
                 RefusalCode.CANCELLED,
                 'its entry died before it dispatched the call',
--- a/pollenwalk/request/call_sender.py
+++ b/pollenwalk/request/call_sender.py
@@ -1,8 +1,8 @@
-"""Sending one call to upstream hosts until one of them begins to answer.
+"""Sending of one call to upstream hosts until one of them begins to answer.
 
-A host that did not run the call is followed by another one. A host that may
-have run it is followed by another one only where the call is idempotent and
-the route allows one more attempt.
+If a host did not run the call, the call is sent to another host. If a host may
+have run it, the call is sent again only if it is idempotent and the route allows
+one more attempt.
 """
 
 import random
@@ -23,17 +23,26 @@
 from pollenwalk.request.exchange import Exchange
 from pollenwalk.request.http_messages import Headers
 
-# A share of the objective within which a refused caller can still come back
-# and be served on time.
-HOLD_SHARE = 0.25
-# Pause before hosts that refused are asked again.
-ASK_AGAIN_MS = 25.0
-# Retry-After where nothing better is known: about one service time.
+# Share of the route's target time during which hosts that have all refused a call
+# are asked again. A caller that is refused after it can still retry and be served
+# on time.
+REFUSED_HOLD_SHARE = 0.25
+# Pause before hosts that have all refused a call are asked again.
+HOST_RETRY_INTERVAL_MS = 25.0
+# Retry-After of calls that no host accepts: about one service time.
 RETRY_AFTER_MS = 200
 
 
 class ForwardingContext(NamedTuple):
-    """What sending needs of the process."""
+    """The parts of a gateway that forwarding calls needs.
+
+    Attributes:
+        clock: the process's clock.
+        pool: idle connections to hosts.
+        call_placer: chooses hosts and learns run times.
+        metrics: the gateway's metrics.
+        rng: the process's random number generator.
+    """
 
     clock: Clock
     pool: LinkPool
@@ -43,31 +52,34 @@
 
 
 class CallSender:
-    """The sends of one call.
+    """Sends one call to one host after the other.
 
     Attributes:
-        runs: hosts that have run the call, or may have.
-        sent_ms: time of the last send.
-        waited: whether it met a host that had no free slot.
-        tried: hosts that are not asked again.
+        cost: expected cost of the call, for the choice of a host.
+        runs: number of hosts that have run the call or may have.
+        sent_ms: when the call was last sent, on the process's clock.
+        found_no_free_slot: whether the last host seemed to have no free slot.
+        tried_hosts: ids of the hosts tried before; emptied when all of them are to
+            be tried again.
     """
 
     def __init__(self, context: ForwardingContext, call: Call, body: bytes) -> None:
-        """Prepare to send `body`."""
+        """Prepare to send `call` with `body`; nothing is sent yet."""
         self.context = context
         self.call = call
         self.body = body
         self.cost = CallCost(context.call_placer.expected_run_ms(call))
         self.runs = 0
         self.sent_ms = 0.0
-        self.waited = False
-        self.tried: set[str] = set()
+        self.found_no_free_slot = False
+        self.tried_hosts: set[str] = set()
 
     def check_program_admission(self) -> None:
-        """Turn a program back before any work is done for it.
+        """Refuse a new program if the wait at the best host is too long.
 
         Raises:
-            Refusal: the hosts are too busy for one more program.
+            Refusal: the hosts are too busy for one more program; no work was done
+                for it.
         """
         call = self.call
         call_placer = self.context.call_placer
@@ -88,92 +100,102 @@
         self.context.metrics.count_send('turned_back')
         raise Refusal(
             RefusalCode.OVERLOADED,
-            f'{call.upstream}: too busy for one more program',
+            f'upstream {call.upstream} is too busy for one more program',
             retry_after_ms=round(retry_after_ms),
         )
 
-    def note_run(self) -> None:
-        """Learn how long a call that was answered whole has run."""
-        if self.waited:
+    def record_run_time(self) -> None:
+        """Record how long the call has run, once its answer is complete.
+
+        A call that may have waited for a slot is left out, so that run times do
+        not include waits.
+        """
+        if self.found_no_free_slot:
             return
         run_ms = self.context.clock.now_ms() - self.sent_ms
         self.context.call_placer.record_run_time(self.call, run_ms)
 
-    def may_run(self) -> bool:
-        """Tell whether one more host may run the call."""
+    def may_send(self) -> bool:
+        """Return whether the call may be sent to one more host."""
         if not self.runs:
             return True
         route = self.call.route
         return route.idempotent and self.runs < route.max_attempts
 
-    async def begin(self, last_event: str = '') -> Exchange:
-        """Find a host that begins to answer.
+    async def open_exchange(self, last_event: str = '') -> Exchange:
+        """Send the call until a host begins to answer, and return the exchange.
 
         Args:
-            last_event: where an interrupted stream goes on; empty for the
-                beginning.
+            last_event: id of the event after which a stream is to be resumed;
+                empty to start from the beginning.
 
         Raises:
-            Refusal: none does.
+            Refusal: no host accepts the call, or the call may have run and may
+                not be sent again.
         """
-        while self.may_run():
-            state = await self.next_host()
+        while self.may_send():
+            state = await self.choose_host()
             try:
-                return await self.send(state, last_event)
+                return await self.send_to_host(state, last_event)
             except NotSent as error:
-                self.bounced(state, error.message)
+                self.handle_not_run(state, error.message)
             except BrokenAnswer as error:
-                self.broke(state, error.message)
+                self.handle_broken_answer(state, error.message)
         raise Refusal(
             RefusalCode.UPSTREAM_FAILED,
             'the upstream host broke off its answer',
             Outcome.UNKNOWN,
         )
 
-    async def next_host(self) -> HostState:
-        """Choose a host; once all have refused, ask them again for a while.
+    async def choose_host(self) -> HostState:
+        """Choose the host for the next try.
+
+        Once all hosts have been tried, they are tried again for a limited time.
 
         Raises:
-            Refusal: no host takes the call.
+            Refusal: no host accepts the call.
         """
         clock = self.context.clock
         target_ms = self.call.route.target_ms
-        limit_ms = self.call.request.arrived_ms + target_ms * HOLD_SHARE
+        give_up_at_ms = self.call.request.arrived_ms + target_ms * REFUSED_HOLD_SHARE
         while True:
             state = self.context.call_placer.choose_host(
-                self.call, self.cost, self.tried
+                self.call, self.cost, self.tried_hosts
             )
             if state is not None:
                 return state
-            if not self.tried or clock.now_ms() + ASK_AGAIN_MS > limit_ms:
-                raise self.nobody()
-            await clock.sleep_ms(ASK_AGAIN_MS)
-            self.tried.clear()
+            if (
+                not self.tried_hosts
+                or clock.now_ms() + HOST_RETRY_INTERVAL_MS > give_up_at_ms
+            ):
+                raise self.no_host_refusal()
+            await clock.sleep_ms(HOST_RETRY_INTERVAL_MS)
+            self.tried_hosts.clear()
 
-    def nobody(self) -> Refusal:
-        """Refuse a call that no host takes."""
+    def no_host_refusal(self) -> Refusal:
+        """Return the refusal of a call that no host accepts."""
         if self.runs:
             return Refusal(
                 RefusalCode.UPSTREAM_FAILED,
-                'no other upstream host takes the call',
+                'no other upstream host accepts the call',
                 Outcome.UNKNOWN,
             )
-        code = RefusalCode.OVERLOADED if self.tried else RefusalCode.NO_UPSTREAM
+        code = RefusalCode.OVERLOADED if self.tried_hosts else RefusalCode.NO_UPSTREAM
         return Refusal(
             code,
-            f'{self.call.upstream}: no host takes the call',
+            f'no host of upstream {self.call.upstream} accepts the call',
             retry_after_ms=RETRY_AFTER_MS,
         )
 
-    async def send(self, state: HostState, last_event: str) -> Exchange:
-        """Send to one host and wait for the beginning of its answer.
+    async def send_to_host(self, state: HostState, last_event: str) -> Exchange:
+        """Send the call to one host and wait for the head of its answer.
 
         Raises:
             NotSent: the host did not run the call.
-            BrokenAnswer: the host may have run the call.
+            BrokenAnswer: the host may have run the call but gave no valid head.
         """
         self.sent_ms = self.context.clock.now_ms()
-        self.waited = state.load(self.sent_ms) >= state.registration.slots
+        self.found_no_free_slot = state.load(self.sent_ms) >= state.registration.slots
         state.in_flight += 1
         try:
             link = await self.context.pool.take(state.registration)
@@ -182,21 +204,27 @@
             raise
         exchange = Exchange(self.context.pool, state, link)
         try:
-            await self.ask(exchange, last_event)
+            await self.send_request(exchange, last_event)
         except BaseException:
             exchange.close()
             raise
         return exchange
 
-    async def ask(self, exchange: Exchange, last_event: str) -> None:
-        """Send on one connection and read the beginning of the answer."""
+    async def send_request(self, exchange: Exchange, last_event: str) -> None:
+        """Send the request on one connection and read the head of the answer.
+
+        Raises:
+            NotSent: the connection had ended, or the host refused the request.
+            BrokenAnswer: the answer broke off, is not signed by a host, or has an
+                encoded body.
+        """
         request = self.call.request
         state = exchange.state
         self.log_send(state)
         await exchange.link.send(
             request.method,
             request.target,
-            self.headers(state, last_event),
+            self.build_headers(state, last_event),
             self.body,
         )
         self.runs += 1
@@ -209,11 +237,11 @@
             await exchange.body()
             raise NotSent(f'refused with status {head.status}')
         if not head.signed or head.encoded:
-            raise BrokenAnswer(f'status {head.status} without a signature')
+            raise BrokenAnswer(f'status {head.status} of an unsigned or encoded answer')
         self.context.metrics.count_send('answered')
 
     def log_send(self, state: HostState) -> None:
-        """Log which host was chosen and what that rested on."""
+        """Log the chosen host and the load that it was chosen by."""
         now_ms = self.context.clock.now_ms()
         logger.info(
             'sent',
@@ -225,20 +253,20 @@
             version=self.call.version,
         )
 
-    def headers(self, state: HostState, last_event: str) -> Headers:
-        """Write the headers for one host."""
+    def build_headers(self, state: HostState, last_event: str) -> Headers:
+        """Return the caller's headers with those added for one host."""
         remaining_ms = self.call.remaining_ms(self.context.clock.now_ms())
         added = added_headers(state.registration.id, remaining_ms, None)
-        given = self.call.request.headers
+        request_headers = self.call.request.headers
         if last_event:
             resume = resume_header(last_event)
-            given = [one for one in given if one[0] != resume[0]]
+            request_headers = [one for one in request_headers if one[0] != resume[0]]
             added.append(resume)
-        return [*given, *added]
+        return [*request_headers, *added]
 
-    def bounced(self, state: HostState, reason: str) -> None:
-        """Note a host that did not run the call."""
-        self.tried.add(state.registration.id)
+    def handle_not_run(self, state: HostState, reason: str) -> None:
+        """Exclude a host that did not run the call."""
+        self.tried_hosts.add(state.registration.id)
         self.context.call_placer.record_rejection(state, reason)
         self.context.metrics.count_send('not_run')
         logger.info(
@@ -248,9 +276,9 @@
             reason=reason,
         )
 
-    def broke(self, state: HostState, reason: str) -> None:
-        """Note a host that may have run the call and gave no answer."""
-        self.tried.add(state.registration.id)
+    def handle_broken_answer(self, state: HostState, reason: str) -> None:
+        """Exclude a host that may have run the call but gave no valid answer."""
+        self.tried_hosts.add(state.registration.id)
         state.record_failure(self.context.clock.now_ms())
         self.context.metrics.count_send('broken')
         logger.warning(
--- a/test/test_broken.py
+++ b/test/test_broken.py
@@ -39,7 +39,7 @@
 
 async def intend_later(self: Execution, host: Any, connection: Any) -> None:
     """Hand over before the intent is durable."""
-    intent = self.make_intent(host, connection)
+    intent = self.build_intent(host, connection)
     self.context.recorder.record_later(self.live, lambda: [intent])
 
 
@@ -63,7 +63,7 @@
 
 
 async def dispatch_unresolved(
-    self: Resolver, call: Any, fence: str, until_ms: float
+    self: Resolver, call: Any, fence: str, give_up_at_ms: float
 ) -> None:
     """Take silence for a proof that the call did not run."""
 
@@ -80,7 +80,7 @@
     Break(
         'dispatch before the intent is durable',
         Execution,
-        'intend',
+        'record_intent',
         intend_later,
         'home_dies_before_intent_is_durable',
     ),
