--- a/pollenwalk/connection/link_pool.py
+++ b/pollenwalk/connection/connection_pool.py
@@ -1,7 +1,10 @@
 """Kept connections to upstream hosts."""
 
 from pollenwalk.connection.hosts import UpstreamHost
-from pollenwalk.connection.upstream_link import UpstreamLink, open_link
+from pollenwalk.connection.upstream_connection import (
+    UpstreamConnection,
+    open_upstream_connection,
+)
 from pollenwalk.process.clock import Clock
 
 # Two round trips between regions, a lost packet sent again, and some.
@@ -13,15 +16,15 @@
 UNSTATED_KEEP_MS = 4000.0
 
 
-class LinkPool:
+class ConnectionPool:
     """The idle connections of one gateway, by host."""
 
     def __init__(self, clock: Clock) -> None:
         """Start with none."""
         self.clock = clock
-        self.idle: dict[str, list[UpstreamLink]] = {}
+        self.idle: dict[str, list[UpstreamConnection]] = {}
 
-    async def take(self, host: UpstreamHost) -> UpstreamLink:
+    async def take(self, host: UpstreamHost) -> UpstreamConnection:
         """Give an idle connection, or a new one.
 
         Raises:
@@ -34,9 +37,9 @@
             if link.reusable and now_ms < link.idle_since_ms + keep_alive_ms(link):
                 return link
             link.abort()
-        return await open_link(host.address, CONNECT_TIMEOUT_S)
+        return await open_upstream_connection(host.address, CONNECT_TIMEOUT_S)
 
-    def give_back(self, host: UpstreamHost, link: UpstreamLink) -> None:
+    def give_back(self, host: UpstreamHost, link: UpstreamConnection) -> None:
         """Keep a connection whose answer was read whole, if it can be."""
         if not link.release():
             return
@@ -54,7 +57,7 @@
         self.drop(set())
 
 
-def keep_alive_ms(link: UpstreamLink) -> float:
+def keep_alive_ms(link: UpstreamConnection) -> float:
     """Give how long a link may be idle and still be used."""
     if link.keep_alive_ms is None:
         return UNSTATED_KEEP_MS
--- a/pollenwalk/connection/upstream_link.py
+++ b/pollenwalk/connection/upstream_connection.py
@@ -24,7 +24,7 @@
 MAX_STRAY_ANSWERS = 3
 
 
-class UpstreamLink(asyncio.Protocol):
+class UpstreamConnection(asyncio.Protocol):
     """A connection that carries one request at a time.
 
     Attributes:
@@ -228,7 +228,9 @@
             self.transport.abort()
 
 
-async def open_link(address: str, timeout_s: float) -> UpstreamLink:
+async def open_upstream_connection(
+    address: str, timeout_s: float
+) -> UpstreamConnection:
     """Connect to an upstream host.
 
     Raises:
@@ -238,7 +240,7 @@
     ip, port = split_address(address)
     try:
         async with asyncio.timeout(timeout_s):
-            _, link = await loop.create_connection(UpstreamLink, ip, port)
+            _, link = await loop.create_connection(UpstreamConnection, ip, port)
     except (OSError, TimeoutError) as error:
         raise NotSent(f'{address}: {error!r}') from error
     sock: socket.socket = link.transport.get_extra_info('socket')
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from pollenwalk.connection.channel import StreamNetwork
-from pollenwalk.connection.link_pool import LinkPool
+from pollenwalk.connection.connection_pool import ConnectionPool
 from pollenwalk.errors import Outcome, Refusal, RefusalCode, StoreUnavailable
 from pollenwalk.platform.documents import CONFIGURATION_PREFIX, HOSTS_PREFIX
 from pollenwalk.policy.host_choice import EarliestFinish
@@ -89,7 +89,7 @@
         self.tasks = TaskSet()
         self.active_configuration = ActiveConfiguration()
         self.host_table = HostTable(clock)
-        self.pool = LinkPool(clock)
+        self.pool = ConnectionPool(clock)
         self.stopping = False
         call_placer = CallPlacer(
             clock,
--- a/pollenwalk/request/call_sender.py
+++ b/pollenwalk/request/call_sender.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from pollenwalk.connection.link_pool import LinkPool
+from pollenwalk.connection.connection_pool import ConnectionPool
 from pollenwalk.errors import BrokenAnswer, NotSent, Outcome, Refusal, RefusalCode
 from pollenwalk.platform.headers import added_headers, resume_header
 from pollenwalk.policy.host_choice import CallCost
@@ -36,7 +36,7 @@
     """What sending needs of the process."""
 
     clock: Clock
-    pool: LinkPool
+    pool: ConnectionPool
     call_placer: CallPlacer
     metrics: GatewayMetrics
     rng: random.Random
--- a/pollenwalk/request/exchange.py
+++ b/pollenwalk/request/exchange.py
@@ -4,8 +4,8 @@
 from http import HTTPStatus
 from types import TracebackType
 
-from pollenwalk.connection.link_pool import LinkPool
-from pollenwalk.connection.upstream_link import UpstreamLink
+from pollenwalk.connection.connection_pool import ConnectionPool
+from pollenwalk.connection.upstream_connection import UpstreamConnection
 from pollenwalk.process.host_table import HostState
 from pollenwalk.request.http_messages import AnswerHead
 
@@ -20,7 +20,9 @@
         whole: whether the answer was read to its end.
     """
 
-    def __init__(self, pool: LinkPool, state: HostState, link: UpstreamLink) -> None:
+    def __init__(
+        self, pool: ConnectionPool, state: HostState, link: UpstreamConnection
+    ) -> None:
         """Take over a connection to a host."""
         self.pool = pool
         self.state = state
--- a/test/connection/test_upstream_link.py
+++ b/test/connection/test_upstream_connection.py
@@ -6,7 +6,10 @@
 
 import testtools
 
-from pollenwalk.connection.upstream_link import UpstreamLink, open_link
+from pollenwalk.connection.upstream_connection import (
+    UpstreamConnection,
+    open_upstream_connection,
+)
 from pollenwalk.errors import BrokenAnswer, NotSent
 from standin.platform.host import (
     SIGNED,
@@ -136,7 +139,7 @@
 )
 
 
-async def ask(link: UpstreamLink) -> bytes:
+async def ask(link: UpstreamConnection) -> bytes:
     """Send one request and read the whole answer."""
     await link.send(
         b'POST',
@@ -160,7 +163,7 @@
     async def run_case(self, case: Case) -> None:
         host = ScriptedHost('i-1', case.script)
         listed = await host.start()
-        link = await open_link(listed.address, 1)
+        link = await open_upstream_connection(listed.address, 1)
         try:
             body = await ask(link)
         except BrokenAnswer:
@@ -185,7 +188,7 @@
             line.say(answer(request))
 
         host = ScriptedHost('i-1', script)
-        link = await open_link((await host.start()).address, 1)
+        link = await open_upstream_connection((await host.start()).address, 1)
         await ask(link)
         self.assertTrue(link.release())
         lines[0].say(answer(OTHER, b'late'))
@@ -198,7 +201,7 @@
     @on_loop
     async def test_second_request_on_one_connection(self) -> None:
         host = ScriptedHost('i-1', says(answer))
-        link = await open_link((await host.start()).address, 1)
+        link = await open_upstream_connection((await host.start()).address, 1)
         for _ in range(2):
             self.assertEqual(b'hello', await ask(link))
             self.assertTrue(link.release())
@@ -211,7 +214,7 @@
         listed = await host.start()
         host.stop()
         with testtools.ExpectedException(NotSent):
-            await open_link(listed.address, 1)
+            await open_upstream_connection(listed.address, 1)
 
     @on_loop
     async def test_events_arrive_before_the_stream_ends(self) -> None:
@@ -220,7 +223,7 @@
             await line.gone()
 
         host = ScriptedHost('i-1', script)
-        link = await open_link((await host.start()).address, 1)
+        link = await open_upstream_connection((await host.start()).address, 1)
         await link.send(b'POST', b'/', [(b'host', b'h')], b'')
         await link.head(ID)
         self.assertEqual(event(1), await anext(link.chunks()))
--- a/test/request/test_forwarding.py
+++ b/test/request/test_forwarding.py
@@ -7,8 +7,8 @@
 
 import testtools
 
+from pollenwalk.connection.connection_pool import ConnectionPool
 from pollenwalk.connection.hosts import UpstreamHost
-from pollenwalk.connection.link_pool import LinkPool
 from pollenwalk.errors import BrokenAnswer, Outcome, Refusal, RefusalCode
 from pollenwalk.policy.host_choice import EarliestFinish
 from pollenwalk.process.call_placer import CallPlacer
@@ -167,7 +167,7 @@
         call_placer = CallPlacer(clock, host_table, choice, 'here', {'here': 'east'})
         return ForwardingContext(
             clock,
-            LinkPool(clock),
+            ConnectionPool(clock),
             call_placer,
             GatewayMetrics(),
             random.Random(1),
