--- a/pollenwalk/connection/hosts.py
+++ b/pollenwalk/connection/hosts.py
@@ -24,4 +24,4 @@
     slots: int
     leaving: bool
     warm_up_ms: float
-    born_ms: int
+    started_ms: int
--- a/pollenwalk/connection/keepalive.py
+++ b/pollenwalk/connection/keepalive.py
@@ -12,7 +12,7 @@
 UNACKNOWLEDGED_MS = 2500
 
 
-def probe_peer(sock: socket.socket) -> None:
+def enable_keepalive(sock: socket.socket) -> None:
     """Make the kernel probe the peer and give up on it early."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_S)
--- a/pollenwalk/connection/tcp_network.py
+++ b/pollenwalk/connection/tcp_network.py
@@ -8,7 +8,7 @@
 
 from pollenwalk.connection.addresses import split_address
 from pollenwalk.connection.channel import Channel, ChannelHandler, Listener
-from pollenwalk.connection.keepalive import probe_peer
+from pollenwalk.connection.keepalive import enable_keepalive
 from pollenwalk.errors import ConnectionLost
 
 LENGTH_BYTES = 4
@@ -26,7 +26,7 @@
         """Take over an open connection."""
         self.reader = reader
         self.writer = writer
-        probe_peer(writer.get_extra_info('socket'))
+        enable_keepalive(writer.get_extra_info('socket'))
 
     async def send(self, frame: bytes) -> None:
         """Write one frame."""
--- a/pollenwalk/connection/upstream_connection.py
+++ b/pollenwalk/connection/upstream_connection.py
@@ -13,7 +13,7 @@
 import h11
 
 from pollenwalk.connection.addresses import split_address
-from pollenwalk.connection.keepalive import probe_peer
+from pollenwalk.connection.keepalive import enable_keepalive
 from pollenwalk.errors import BrokenAnswer, NotSent
 from pollenwalk.platform import headers as wire
 from pollenwalk.request.http_messages import AnswerHead, Headers
@@ -244,5 +244,5 @@
     except (OSError, TimeoutError) as error:
         raise NotSent(f'{address}: {error!r}') from error
     sock: socket.socket = link.transport.get_extra_info('socket')
-    probe_peer(sock)
+    enable_keepalive(sock)
     return link
--- a/pollenwalk/platform/documents.py
+++ b/pollenwalk/platform/documents.py
@@ -208,7 +208,7 @@
         slots=wire['slots'],
         leaving=leaving,
         warm_up_ms=wire.get('cold_left_ms', 0),
-        born_ms=wire.get('born', 0),
+        started_ms=wire.get('born', 0),
     )
 
 
--- a/pollenwalk/platform/objects.py
+++ b/pollenwalk/platform/objects.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from pollenwalk.connection.http_client import HttpClient
-from pollenwalk.connection.keepalive import probe_peer
+from pollenwalk.connection.keepalive import enable_keepalive
 from pollenwalk.errors import StoreConflict, StoreHistoryGone, StoreUnavailable
 from pollenwalk.process.store import ABSENT, WATCH_TIMEOUT_MS, Changes, StoredObject
 
@@ -205,7 +205,7 @@
     """Make a socket that notices a silent peer."""
     new_socket = socket.socket(family=address[0], type=address[1], proto=address[2])
     new_socket.setblocking(False)
-    probe_peer(new_socket)
+    enable_keepalive(new_socket)
     return new_socket
 
 
--- a/pollenwalk/process/host_table.py
+++ b/pollenwalk/process/host_table.py
@@ -112,7 +112,7 @@
     def register(self, registration: UpstreamHost, version: int) -> None:
         """Add a host, or change what it says of itself."""
         state = self.states.get(registration.id)
-        if state is None or state.registration.born_ms != registration.born_ms:
+        if state is None or state.registration.started_ms != registration.started_ms:
             state = HostState(registration)
             self.states[registration.id] = state
         state.registration = registration
--- a/test/platform/test_documents.py
+++ b/test/platform/test_documents.py
@@ -88,7 +88,7 @@
         host = decode_host('servers/i-1', json.dumps({**HOST, 'born': 5}).encode())
         self.assertEqual('i-1', host.id)
         self.assertEqual('10.128.0.9:8080', host.address)
-        self.assertEqual(5, host.born_ms)
+        self.assertEqual(5, host.started_ms)
         self.assertFalse(host.leaving)
 
     def test_leaving(self) -> None:
