--- a/pollenwalk/connection/wire.py
+++ b/pollenwalk/connection/wire.py
@@ -79,8 +79,8 @@
     digest: str
     max_tokens: int
     priority: int
-    age_ms: float
-    deadline_in_ms: float
+    program_age_ms: float
+    time_left_ms: float
     trace: str
 
 
@@ -102,7 +102,7 @@
     output: dict[str, Any]
     tokens: int = 0
     prefilled: int = 0
-    ahead: int = 0
+    remaining_calls: int = 0
 
 
 class NeedHistory(NamedTuple):
@@ -181,7 +181,7 @@
     operation: str
     argument: dict[str, Any]
     offset: int = 0
-    deadline_in_ms: float = 120_000.0
+    time_left_ms: float = 120_000.0
     trace: str = ''
 
 
--- a/pollenwalk/process/call_executor.py
+++ b/pollenwalk/process/call_executor.py
@@ -78,12 +78,12 @@
         cancellation, the call is refused with an unknown outcome.
         """
         message = call.message
-        deadline_ms = self.clock.now_ms() + message.deadline_in_ms
+        deadline_ms = self.clock.now_ms() + message.time_left_ms
         try:
             await self.slot_queue.acquire(
                 message.priority,
                 deadline_ms,
-                self.clock.now_ms() - message.age_ms,
+                self.clock.now_ms() - message.program_age_ms,
             )
         except Refusal as refusal:
             self.record_refusal(call, refusal)
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -144,5 +144,5 @@
         intent.upstream,
         intent.operation,
         intent.argument,
-        deadline_in_ms=RECOVERY_MS,
+        time_left_ms=RECOVERY_MS,
     )
--- a/pollenwalk/process/sidecar_service.py
+++ b/pollenwalk/process/sidecar_service.py
@@ -94,8 +94,10 @@
         """Add the number of running and queued calls to an answer."""
         if isinstance(item, Tokens):
             return item
-        ahead = self.executor.slot_queue.running + len(self.executor.slot_queue.waiting)
-        return item._replace(ahead=ahead)
+        remaining_calls = self.executor.slot_queue.running + len(
+            self.executor.slot_queue.waiting
+        )
+        return item._replace(remaining_calls=remaining_calls)
 
     def check_boot_id(self, boot_id: str, outcome: Outcome) -> None:
         """Refuse a request that was meant for an earlier start of this sidecar."""
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -112,9 +112,9 @@
                 answer = await dispatch(connection, self.live, self.call, message)
             finally:
                 self.context.fleet.remove_call(host.sidecar, self.call.id)
-        self.context.fleet.update_load(host.sidecar, answer.ahead)
+        self.context.fleet.update_load(host.sidecar, answer.remaining_calls)
         self.context.retries.of(self.program.caller, self.request.upstream).earn()
-        return answer._replace(ahead=0)
+        return answer._replace(remaining_calls=0)
 
     def build(
         self,
--- a/pollenwalk/request/call.py
+++ b/pollenwalk/request/call.py
@@ -51,7 +51,7 @@
         """Start the call's time."""
         self.request = request
         self.digest = request_digest(request)
-        self.deadline_ms = clock.now_ms() + request.deadline_in_ms
+        self.deadline_ms = clock.now_ms() + request.time_left_ms
         self.clock = clock
         self.stream = TokenStream()
         self.attempts = 0
--- a/pollenwalk/request/routing.py
+++ b/pollenwalk/request/routing.py
@@ -209,7 +209,7 @@
 
         After a move the tokens begin again at offset 0.
         """
-        deadline_ms = self.clock.now_ms() + request.deadline_in_ms
+        deadline_ms = self.clock.now_ms() + request.time_left_ms
         until_ms = min(deadline_ms, self.clock.now_ms() + OWNER_WAIT_MS)
         self.open_requests += 1
         try:
@@ -227,7 +227,7 @@
         """Run a call at one home after the other until one answers."""
         while True:
             remaining_ms = deadline_ms - self.clock.now_ms()
-            request = request._replace(deadline_in_ms=remaining_ms)
+            request = request._replace(time_left_ms=remaining_ms)
             try:
                 async for item in self.call_once(request):
                     yield item
