--- a/pollenwalk/commands/status.py
+++ b/pollenwalk/commands/status.py
@@ -64,8 +64,8 @@
     tasks = TaskSet()
     peer = Peer(address, GrpcNetwork(), LoopClock(), tasks)
     try:
-        connection = await peer.connected()
-        await peer.ask(Beat('', 0), ANSWER_MS)
+        connection = await peer.ensure_connected()
+        await peer.request(Beat('', 0), ANSWER_MS)
     except PollenwalkError:
         return False
     finally:
@@ -84,7 +84,7 @@
     tasks = TaskSet()
     peer = Peer(address, GrpcNetwork(), LoopClock(), tasks)
     try:
-        await peer.ask(Drain(), ANSWER_MS)
+        await peer.request(Drain(), ANSWER_MS)
     finally:
         await peer.close()
         await tasks.cancel()
--- a/pollenwalk/connection/peer.py
+++ b/pollenwalk/connection/peer.py
@@ -134,11 +134,11 @@
         self.lost = False
         self.boot_id = ''
 
-    async def greet(self, hello: Hello) -> None:
+    async def handshake(self, hello: Hello) -> None:
         """Say who we are and learn the peer's boot id."""
         self.tasks.spawn(self.write(), 'connection_write')
         self.tasks.spawn(self.read(), 'connection_read')
-        welcome = await self.ask(hello)
+        welcome = await self.request(hello)
         self.boot_id = welcome.boot_id
 
     async def write(self) -> None:
@@ -192,7 +192,7 @@
         if item is not END:
             raise item
 
-    async def ask(self, message: Any) -> Any:
+    async def request(self, message: Any) -> Any:
         """Ask a question that has one answer."""
         answers = [answer async for answer in self.stream(message)]
         if not answers:
@@ -230,7 +230,7 @@
         self.zone = zone
         return self
 
-    async def connected(self) -> Connection:
+    async def ensure_connected(self) -> Connection:
         """Give the open connection, opening one when there is none.
 
         Raises:
@@ -256,12 +256,12 @@
             async with self.clock.timeout_ms(CONNECT_TIMEOUT_MS):
                 channel = await self.network.connect(self.address)
                 connection = Connection(channel, self.clock, self.tasks)
-                await connection.greet(hello)
+                await connection.handshake(hello)
         except TimeoutError as error:
             raise ConnectionLost(f'{self.address} does not answer') from error
         return connection
 
-    async def ask(self, message: Any, timeout_ms: float) -> Any:
+    async def request(self, message: Any, timeout_ms: float) -> Any:
         """Ask a question that has one answer, within a time.
 
         Raises:
@@ -270,8 +270,8 @@
         """
         try:
             async with self.clock.timeout_ms(timeout_ms):
-                connection = await self.connected()
-                return await connection.ask(message)
+                connection = await self.ensure_connected()
+                return await connection.request(message)
         except TimeoutError as error:
             self.drop_silent()
             raise ConnectionLost(f'{self.address} is silent') from error
@@ -284,7 +284,7 @@
 
     async def stream(self, message: Any) -> AsyncIterator[Any]:
         """Ask a question and give its answers as they come."""
-        connection = await self.connected()
+        connection = await self.ensure_connected()
         answers = connection.stream(message)
         try:
             async for answer in answers:
--- a/pollenwalk/process/entry_service.py
+++ b/pollenwalk/process/entry_service.py
@@ -121,7 +121,7 @@
         """Ask another entry to take over this one's programs."""
         message = HandOver(self.entry.incarnation)
         try:
-            await self.entry.peers.at(successor.address).ask(
+            await self.entry.peers.at(successor.address).request(
                 message,
                 HANDOVER_TIMEOUT_MS,
             )
--- a/pollenwalk/process/keeper_links.py
+++ b/pollenwalk/process/keeper_links.py
@@ -126,7 +126,7 @@
         if link.lost_since_ms is not None:
             raise ConnectionLost(f'{link.member.name} is lost')
         try:
-            return await link.peer.ask(message, ASK_TIMEOUT_MS)
+            return await link.peer.request(message, ASK_TIMEOUT_MS)
         except ConnectionLost as error:
             self.mark_lost(link, error)
             raise
@@ -148,7 +148,7 @@
         """Ask a lost keeper until it answers or is no longer listed."""
         while self.by_name.get(link.member.name) is link:
             try:
-                await link.peer.ask(Settlements([]), ASK_TIMEOUT_MS)
+                await link.peer.request(Settlements([]), ASK_TIMEOUT_MS)
             except PollenwalkError:
                 # Already logged as lost.
                 await self.clock.sleep_ms(PROBE_EVERY_MS)
--- a/pollenwalk/process/neighbours.py
+++ b/pollenwalk/process/neighbours.py
@@ -93,8 +93,8 @@
         """
         peer = self.entry.peers.at(address)
         try:
-            await peer.ask(Beat(self.entry.incarnation, 0), PROBE_MS)
-            return (await peer.connected()).boot_id
+            await peer.request(Beat(self.entry.incarnation, 0), PROBE_MS)
+            return (await peer.ensure_connected()).boot_id
         except PollenwalkError:
             return ''
 
--- a/pollenwalk/process/recorder.py
+++ b/pollenwalk/process/recorder.py
@@ -117,7 +117,7 @@
             self.settled = {}
             for address, calls in batches.items():
                 try:
-                    await peers(address).ask(Settle(calls), SETTLE_TIMEOUT_MS)
+                    await peers(address).request(Settle(calls), SETTLE_TIMEOUT_MS)
                 except (ConnectionLost, Refusal) as error:
                     logger.debug('settle_lost', address=address, reason=str(error))
 
--- a/pollenwalk/process/upkeep.py
+++ b/pollenwalk/process/upkeep.py
@@ -51,7 +51,7 @@
     async def released(self, address: str, program_id: str) -> bool:
         """Ask one sidecar; tell whether it has returned the memory."""
         try:
-            await self.context.peers(address).ask(
+            await self.context.peers(address).request(
                 Release([program_id]),
                 RELEASE_TIMEOUT_MS,
             )
@@ -79,7 +79,7 @@
     async def renew_at(self, address: str, programs: list[str]) -> None:
         """Renew at one sidecar; a lost message only shortens the lease."""
         try:
-            await self.context.peers(address).ask(Renew(programs), RENEW_MS)
+            await self.context.peers(address).request(Renew(programs), RENEW_MS)
         except (ConnectionLost, Refusal):
             logger.debug('renew_lost', address=address)
 
--- a/pollenwalk/process/witness.py
+++ b/pollenwalk/process/witness.py
@@ -93,11 +93,11 @@
             Whether the witness now holds all of them.
         """
         try:
-            connection = await self.peer.connected()
+            connection = await self.peer.ensure_connected()
             if connection.boot_id != self.ref.incarnation:
                 self.failed = True
                 return False
-            await self.peer.ask(message, APPEND_TIMEOUT_MS)
+            await self.peer.request(message, APPEND_TIMEOUT_MS)
         except Refusal:
             self.failed = True
             return False
@@ -121,9 +121,9 @@
         What it held, or None when it can't be read or has restarted.
     """
     try:
-        connection = await peer.connected()
+        connection = await peer.ensure_connected()
         if connection.boot_id != ref.incarnation:
             return None
-        return await peer.ask(message, APPEND_TIMEOUT_MS)
+        return await peer.request(message, APPEND_TIMEOUT_MS)
     except (ConnectionLost, Refusal):
         return None
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -103,7 +103,7 @@
     ) -> Answer:
         """Give the call to a host's sidecar and wait for the answer."""
         if connection is None:
-            connection = await self.context.peers(host.address).connected()
+            connection = await self.context.peers(host.address).ensure_connected()
         with self.context.tracer.span('dispatch', self.request.trace) as trace:
             message = self.build(host, connection.boot_id, max_tokens, trace)
             self.call.running = True
--- a/pollenwalk/request/dispatch.py
+++ b/pollenwalk/request/dispatch.py
@@ -114,7 +114,7 @@
 
     async def ask(self, call: LiveCall, fence: str) -> Answer | None:
         """Ask once; raises `ConnectionLost` when there is no answer."""
-        connection = await self.peer.connected()
+        connection = await self.peer.ensure_connected()
         if connection.boot_id != self.boot_id:
             raise Refusal(
                 RefusalCode.OUTCOME_UNKNOWN,
@@ -122,7 +122,7 @@
                 Outcome.UNKNOWN,
             )
         question = Resolve(call.id, self.boot_id, fence)
-        resolution = await self.peer.ask(question, RESOLVE_TIMEOUT_MS)
+        resolution = await self.peer.request(question, RESOLVE_TIMEOUT_MS)
         if resolution.state == NOT_RUN_STATE:
             return None
         return await follow(connection, call, self.boot_id)
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -159,7 +159,7 @@
         while True:
             host = await self.attempts.pick()
             try:
-                return host, await self.context.peers(host.address).connected()
+                return host, await self.context.peers(host.address).ensure_connected()
             except ConnectionLost:
                 await self.attempts.lost(host)
 
--- a/pollenwalk/request/routing.py
+++ b/pollenwalk/request/routing.py
@@ -152,7 +152,7 @@
         registrar = self.registrars(message)[0]
         if registrar.incarnation == self.incarnation:
             return await self.claim_here(message)
-        claim = await self.peers(registrar.address).ask(
+        claim = await self.peers(registrar.address).request(
             message,
             FORWARD_TIMEOUT_MS,
         )
@@ -194,7 +194,7 @@
         ]
         for record in older[:OLDER_REGISTRARS]:
             try:
-                claim = await self.peers(record.address).ask(
+                claim = await self.peers(record.address).request(
                     question,
                     CLAIM_TIMEOUT_MS,
                 )
@@ -280,7 +280,7 @@
         owner_record = await self.locate(program_id)
         if owner_record.incarnation != self.incarnation:
             self.forwarded += 1
-            return await self.peers(owner_record.address).ask(
+            return await self.peers(owner_record.address).request(
                 message, FORWARD_TIMEOUT_MS
             )
         if isinstance(message, BeginProgram):
--- a/test/connection/test_peer.py
+++ b/test/connection/test_peer.py
@@ -74,7 +74,7 @@
     async def test_refusal_keeps_its_parts(self) -> None:
         pair = await Pair(answer).start()
         try:
-            await pair.peer.ask(Drain(), 1000)
+            await pair.peer.request(Drain(), 1000)
         except Refusal as refusal:
             found = (refusal.code, refusal.retry_after_ms, refusal.outcome)
             self.assertEqual((RefusalCode.STOPPING, 7, 'not_run'), found)
@@ -85,25 +85,25 @@
     async def test_nobody_listens(self) -> None:
         pair = Pair(answer)
         with testtools.ExpectedException(ConnectionLost):
-            await pair.peer.ask(Done(), 1000)
+            await pair.peer.request(Done(), 1000)
 
     @virtual
     async def test_silence_is_noticed(self) -> None:
         pair = await Pair(answer).start()
-        await pair.peer.connected()
+        await pair.peer.ensure_connected()
         pair.fabric.cut('client', 'server')
         with testtools.ExpectedException(ConnectionLost):
-            await pair.peer.ask(Done(), 1000)
+            await pair.peer.request(Done(), 1000)
         pair.fabric.heal()
-        self.assertEqual(Done(), await pair.peer.ask(Done(), 10_000))
+        self.assertEqual(Done(), await pair.peer.request(Done(), 10_000))
 
     @virtual
     async def test_connects_again_with_a_later_epoch(self) -> None:
         pair = await Pair(answer).start()
-        first = await pair.peer.connected()
+        first = await pair.peer.ensure_connected()
         await first.channel.close()
         await pair.clock.sleep_ms(10)
-        second = await pair.peer.connected()
+        second = await pair.peer.ensure_connected()
         self.assertIsNot(first, second)
         self.assertEqual(2, pair.peer.epoch)
 
@@ -114,9 +114,9 @@
         connection = Connection(channel, pair.clock, TaskSet())
         hello = Hello(PROTOCOL_VERSION + 1, 'other', 1, 'rimouski')
         with testtools.ExpectedException(Refusal):
-            await connection.greet(hello)
+            await connection.handshake(hello)
         with testtools.ExpectedException(Refusal):
-            await connection.ask(Done())
+            await connection.request(Done())
 
     @virtual
     async def test_noise_ends_the_channel(self) -> None:
@@ -126,7 +126,7 @@
             await channel.send(noise)
             with testtools.ExpectedException(ConnectionLost):
                 await channel.receive()
-            self.assertEqual(Done(), await pair.peer.ask(Done(), 1000))
+            self.assertEqual(Done(), await pair.peer.request(Done(), 1000))
 
     @virtual
     async def test_question_before_greeting_ends_the_channel(self) -> None:
@@ -136,4 +136,4 @@
         connection.tasks.spawn(connection.write(), 'write')
         connection.tasks.spawn(connection.read(), 'read')
         with testtools.ExpectedException(ConnectionLost):
-            await connection.ask(Done())
+            await connection.request(Done())
