--- a/pollenwalk/connection/engine_http.py
+++ b/pollenwalk/connection/engine_http.py
@@ -119,7 +119,7 @@
         """Stop generating for a call."""
         await self.ask('DELETE', f'/v1/requests/{quote(call, safe="")}')
 
-    async def held(self) -> dict[str, int]:
+    async def list_cache(self) -> dict[str, int]:
         """Give the cached tokens by program."""
         body = await self.ask('GET', '/v1/cache')
         try:
@@ -127,7 +127,7 @@
         except msgspec.DecodeError as error:
             raise garbage(error) from error
 
-    async def release(self, program: str) -> None:
+    async def release_memory(self, program: str) -> None:
         """Return the memory that a program holds."""
         await self.ask('DELETE', f'/v1/cache/{quote(program, safe="")}')
 
--- a/pollenwalk/connection/upstream.py
+++ b/pollenwalk/connection/upstream.py
@@ -35,10 +35,10 @@
     async def cancel(self, call: str) -> None:
         """Stop generating for a call; one that has ended is no error."""
 
-    async def held(self) -> dict[str, int]:
+    async def list_cache(self) -> dict[str, int]:
         """Give the cached tokens by program."""
 
-    async def release(self, program: str) -> None:
+    async def release_memory(self, program: str) -> None:
         """Return the memory that a program holds."""
 
 
--- a/pollenwalk/process/memory_leases.py
+++ b/pollenwalk/process/memory_leases.py
@@ -61,7 +61,7 @@
         self.expire(program)
         if program in self.running_calls:
             return
-        await self.engine.release(program)
+        await self.engine.release_memory(program)
         self.expires_ms.pop(program, None)
 
     async def reclaim_periodically(self) -> None:
@@ -83,7 +83,7 @@
             Refusal: the engine's list could not be read.
         """
         now_ms = self.clock.now_ms()
-        for program in sorted(await self.engine.held()):
+        for program in sorted(await self.engine.list_cache()):
             lease_ms = self.expires_ms.setdefault(program, now_ms + LEASE_MS)
             if lease_ms <= now_ms and program not in self.running_calls:
                 logger.info('memory_returned', program=program)
--- a/standin/engine.py
+++ b/standin/engine.py
@@ -243,12 +243,12 @@
         if generation in self.batch:
             self.finish(generation)
 
-    async def held(self) -> dict[str, int]:
+    async def list_cache(self) -> dict[str, int]:
         """Give the cached tokens by program."""
         self.check_up()
         return dict(self.cache)
 
-    async def release(self, program: str) -> None:
+    async def release_memory(self, program: str) -> None:
         """Return a program's memory."""
         self.check_up()
         self.cache.pop(program, None)
@@ -321,11 +321,11 @@
 
     async def held(self, request: Request) -> Response:
         """List what is cached."""
-        return JSONResponse(await self.engine.held())
+        return JSONResponse(await self.engine.list_cache())
 
     async def release(self, request: Request) -> Response:
         """Return a program's memory."""
-        await self.engine.release(request.path_params['program'])
+        await self.engine.release_memory(request.path_params['program'])
         return JSONResponse({})
 
 
--- a/standin/virtual/edges.py
+++ b/standin/virtual/edges.py
@@ -149,12 +149,12 @@
         await self.node.passed()
         await self.inner.cancel(call)
 
-    async def held(self) -> dict[str, int]:
+    async def list_cache(self) -> dict[str, int]:
         """Give what is cached."""
         await self.node.passed()
-        return await self.inner.held()
+        return await self.inner.list_cache()
 
-    async def release(self, program: str) -> None:
+    async def release_memory(self, program: str) -> None:
         """Return a program's memory."""
         await self.node.passed()
-        await self.inner.release(program)
+        await self.inner.release_memory(program)
--- a/test/connection/test_contracts.py
+++ b/test/connection/test_contracts.py
@@ -137,10 +137,10 @@
         again = [item async for item in engine.resume('c1', 1)]
         self.assertEqual(texts[1:], [text for one in again[:-1] for text in one.texts])
         self.assertEqual(1, again[0].offset)
-        self.assertIn('p1', await engine.held())
-        await engine.release('p1')
-        await engine.release('p1')
-        self.assertEqual({}, await engine.held())
+        self.assertIn('p1', await engine.list_cache())
+        await engine.release_memory('p1')
+        await engine.release_memory('p1')
+        self.assertEqual({}, await engine.list_cache())
         await engine.cancel('c1')
         await engine.cancel('nothing')
         inner.cut_after = 1
@@ -148,7 +148,7 @@
             [item async for item in engine.chat(REQUEST._replace(call='c2'))]
         inner.down = True
         with testtools.ExpectedException(ConnectionLost):
-            await engine.held()
+            await engine.list_cache()
 
     def make(self) -> ModelEngine:
         """Make a quick engine."""
