--- a/pollenwalk/connection/connection_pool.py
+++ b/pollenwalk/connection/connection_pool.py
@@ -24,7 +24,7 @@
         self.clock = clock
         self.idle: dict[str, list[UpstreamConnection]] = {}
 
-    async def take(self, host: UpstreamHost) -> UpstreamConnection:
+    async def acquire(self, host: UpstreamHost) -> UpstreamConnection:
         """Give an idle connection, or a new one.
 
         Raises:
@@ -39,14 +39,14 @@
             link.abort()
         return await open_upstream_connection(host.address, CONNECT_TIMEOUT_S)
 
-    def give_back(self, host: UpstreamHost, link: UpstreamConnection) -> None:
+    def release(self, host: UpstreamHost, link: UpstreamConnection) -> None:
         """Keep a connection whose answer was read whole, if it can be."""
-        if not link.release():
+        if not link.finish_exchange():
             return
         link.idle_since_ms = self.clock.now_ms()
         self.idle.setdefault(host.id, []).append(link)
 
-    def drop(self, hosts: set[str]) -> None:
+    def close_all_except(self, hosts: set[str]) -> None:
         """Close the connections to all hosts but these."""
         for name in self.idle.keys() - hosts:
             for link in self.idle.pop(name):
@@ -54,7 +54,7 @@
 
     def close(self) -> None:
         """Close all idle connections."""
-        self.drop(set())
+        self.close_all_except(set())
 
 
 def keep_alive_ms(link: UpstreamConnection) -> float:
--- a/pollenwalk/connection/upstream_connection.py
+++ b/pollenwalk/connection/upstream_connection.py
@@ -143,7 +143,7 @@
         except h11.RemoteProtocolError as error:
             raise BrokenAnswer(f'no answer in the protocol: {error}') from error
 
-    async def head(self, request: str) -> AnswerHead:
+    async def read_head(self, request: str) -> AnswerHead:
         """Wait for the answer to a request, skipping answers to others.
 
         Args:
@@ -153,15 +153,15 @@
             BrokenAnswer: no such answer came.
         """
         for _ in range(MAX_STRAY_ANSWERS):
-            found = await self.any_head()
+            found = await self.read_any_head()
             if not found.request or found.request == request:
                 return found
             self.reusable = False
-            await self.body()
-            self.start_over()
+            await self.read_body()
+            self.expect_another_answer()
         raise BrokenAnswer('only answers to other requests came')
 
-    async def any_head(self) -> AnswerHead:
+    async def read_any_head(self) -> AnswerHead:
         """Wait for the beginning of the next answer."""
         event = await self.next_event()
         while isinstance(event, h11.InformationalResponse):
@@ -173,11 +173,11 @@
             self.keep_alive_ms = found.keep_alive_ms
         return found
 
-    async def body(self) -> bytes:
+    async def read_body(self) -> bytes:
         """Read the rest of the answer."""
         return b''.join([chunk async for chunk in self.chunks()])
 
-    def start_over(self) -> None:
+    def expect_another_answer(self) -> None:
         """Expect one more answer to the request that was sent."""
         left, _ = self.parser.trailing_data
         self.parser = h11.Connection(h11.CLIENT)
@@ -199,7 +199,7 @@
                 raise BrokenAnswer('the connection ended inside an answer')
             yield bytes(event.data)
 
-    def release(self) -> bool:
+    def finish_exchange(self) -> bool:
         """End an exchange whose answer was read whole.
 
         Returns:
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -176,7 +176,7 @@
         """Note that the list of hosts is fresh."""
         self.host_table.loaded = True
         self.host_table.store_answered()
-        self.pool.drop(set(self.host_table.states))
+        self.pool.close_all_except(set(self.host_table.states))
 
     def store_failed(self, what: str, error: StoreUnavailable) -> None:
         """Note that the store gave no answer, so that lists may be stale."""
--- a/pollenwalk/request/call_sender.py
+++ b/pollenwalk/request/call_sender.py
@@ -176,7 +176,7 @@
         self.waited = state.load(self.sent_ms) >= state.registration.slots
         state.in_flight += 1
         try:
-            link = await self.context.pool.take(state.registration)
+            link = await self.context.pool.acquire(state.registration)
         except BaseException:
             state.in_flight -= 1
             raise
@@ -200,7 +200,7 @@
             self.body,
         )
         self.runs += 1
-        head = await exchange.link.head(self.call.id)
+        head = await exchange.link.read_head(self.call.id)
         exchange.head = head
         if head.load is not None:
             state.record_load(head.load, self.context.clock.now_ms())
--- a/pollenwalk/request/exchange.py
+++ b/pollenwalk/request/exchange.py
@@ -51,7 +51,7 @@
         self.closed = True
         self.state.in_flight -= 1
         if self.whole:
-            self.pool.give_back(self.state.registration, self.link)
+            self.pool.release(self.state.registration, self.link)
         else:
             self.link.abort()
 
--- a/test/connection/test_upstream_connection.py
+++ b/test/connection/test_upstream_connection.py
@@ -147,7 +147,7 @@
         [(b'host', b'h'), (b'x-pollenwalk-request-id', ID.encode())],
         b'input',
     )
-    await link.head(ID)
+    await link.read_head(ID)
     return b''.join([part async for part in link.chunks()])
 
 
@@ -171,7 +171,7 @@
             link.abort()
         else:
             self.assertEqual(case.body, body, case.name)
-            self.assertEqual(case.reusable, link.release(), case.name)
+            self.assertEqual(case.reusable, link.finish_exchange(), case.name)
         self.assertEqual([b'input'], [one.body for one in host.received])
         self.assertEqual(['/p/1?x=%20'], [one.target for one in host.received])
         host.stop()
@@ -190,7 +190,7 @@
         host = ScriptedHost('i-1', script)
         link = await open_upstream_connection((await host.start()).address, 1)
         await ask(link)
-        self.assertTrue(link.release())
+        self.assertTrue(link.finish_exchange())
         lines[0].say(answer(OTHER, b'late'))
         await asyncio.sleep(ARRIVAL_S)
         self.assertFalse(link.reusable)
@@ -204,7 +204,7 @@
         link = await open_upstream_connection((await host.start()).address, 1)
         for _ in range(2):
             self.assertEqual(b'hello', await ask(link))
-            self.assertTrue(link.release())
+            self.assertTrue(link.finish_exchange())
         self.assertEqual(1, host.connections)
         host.stop()
 
@@ -225,7 +225,7 @@
         host = ScriptedHost('i-1', script)
         link = await open_upstream_connection((await host.start()).address, 1)
         await link.send(b'POST', b'/', [(b'host', b'h')], b'')
-        await link.head(ID)
+        await link.read_head(ID)
         self.assertEqual(event(1), await anext(link.chunks()))
         link.abort()
         host.stop()
