--- a/pollenwalk/connection/hosts_http.py
+++ b/pollenwalk/connection/hosts_http.py
@@ -20,7 +20,7 @@
 class HttpHosts(HttpClient):
     """A client of the host list."""
 
-    async def leaving(self) -> list[str]:
+    async def fetch_leaving(self) -> list[str]:
         """Give the IP addresses of leaving hosts.
 
         Raises:
--- a/pollenwalk/process/host_list.py
+++ b/pollenwalk/process/host_list.py
@@ -14,7 +14,7 @@
 class HostList(Protocol):
     """The platform's lagging list of live and leaving hosts."""
 
-    async def leaving(self) -> list[str]:
+    async def fetch_leaving(self) -> list[str]:
         """Give the IP addresses of leaving hosts; raises `ConnectionLost`."""
 
 
@@ -22,7 +22,7 @@
     """Send no new work to hosts that the platform says are leaving."""
     while True:
         try:
-            fleet.update_leaving_addresses(await hosts.leaving())
+            fleet.update_leaving_addresses(await hosts.fetch_leaving())
         except ConnectionLost as error:
             logger.debug('host_list_silent', reason=error.message)
         await clock.sleep_ms(POLL_MS)
--- a/standin/hosts.py
+++ b/standin/hosts.py
@@ -22,7 +22,7 @@
         """Let a host leave."""
         self.marked_ms[address] = self.clock.now_ms()
 
-    async def leaving(self) -> list[str]:
+    async def fetch_leaving(self) -> list[str]:
         """Give the hosts that the list knows of by now."""
         limit_ms = self.clock.now_ms() - LAG_MS
         return [
@@ -45,5 +45,5 @@
 
     async def show(self, request: Request) -> Response:
         """Show the list."""
-        leaving = await self.hosts.leaving()
+        leaving = await self.hosts.fetch_leaving()
         return JSONResponse(dict.fromkeys(leaving, 'leaving'))
--- a/test/connection/test_contracts.py
+++ b/test/connection/test_contracts.py
@@ -298,15 +298,15 @@
         server, url = await serve(HostsApi(inner).app())
         hosts = HttpHosts(url)
         inner.mark('10.0.0.1')
-        self.assertEqual([], await hosts.leaving())
+        self.assertEqual([], await hosts.fetch_leaving())
         inner.marked_ms['10.0.0.1'] -= 10_000
-        self.assertEqual(['10.0.0.1'], await hosts.leaving())
+        self.assertEqual(['10.0.0.1'], await hosts.fetch_leaving())
         await hosts.close()
         await server.stop()
         for body, status in ((b'[]', 200), (b'x', 200), (b'', 500)):
             server, url = await serve(answering(body, status))
             hosts = HttpHosts(url)
             with testtools.ExpectedException(ConnectionLost):
-                await hosts.leaving()
+                await hosts.fetch_leaving()
             await hosts.close()
             await server.stop()
