--- a/pollenwalk/connection/engine_http.py
+++ b/pollenwalk/connection/engine_http.py
@@ -20,8 +20,8 @@
 from pollenwalk.connection.wire import Answer, Tokens
 from pollenwalk.errors import ConnectionLost, Outcome, Refusal, RefusalCode
 
-ANSWER_TIMEOUT_S = 5
-SILENCE_TIMEOUT_S = 30
+RESPONSE_TIMEOUT_S = 5
+READ_TIMEOUT_S = 30
 DATA_PREFIX = b'data:'
 DONE_DATA = b'[DONE]'
 RETRY_AFTER_MS = 500
@@ -56,10 +56,10 @@
 
 
 CHUNK_DECODER = msgspec.json.Decoder(Chunk)
-HELD_DECODER = msgspec.json.Decoder(dict[str, int])
+CACHE_DECODER = msgspec.json.Decoder(dict[str, int])
 
 
-BROKEN = (
+CONNECTION_ERRORS = (
     aiohttp.ClientError,
     HttpProcessingError,
     TimeoutError,
@@ -85,23 +85,23 @@
             'request_id': request.call,
             'user': request.program,
         }
-        async for item in self.events('POST', '/v1/chat/completions', body):
+        async for item in self.stream_events('POST', '/v1/chat/completions', body):
             yield item
 
     async def resume(self, call: str, offset: int) -> AsyncIterator[Tokens | Answer]:
         """Go on with a stream that was cut."""
         path = f'/v1/requests/{quote(call, safe="")}?offset={offset}'
-        async for item in self.events('GET', path, None):
+        async for item in self.stream_events('GET', path, None):
             yield item
 
-    async def events(
+    async def stream_events(
         self,
         method: str,
         path: str,
         body: Any,
     ) -> AsyncIterator[Tokens | Answer]:
         """Read one stream of events."""
-        timeout = aiohttp.ClientTimeout(total=None, sock_read=SILENCE_TIMEOUT_S)
+        timeout = aiohttp.ClientTimeout(total=None, sock_read=READ_TIMEOUT_S)
         try:
             async with self.open_session().request(
                 method,
@@ -112,28 +112,28 @@
                 check_status(response.status)
                 async for item in read_items(response):
                     yield item
-        except BROKEN as error:
+        except CONNECTION_ERRORS as error:
             raise ConnectionLost(f'{method} {path}: {error}') from error
 
     async def cancel(self, call: str) -> None:
         """Stop generating for a call."""
-        await self.ask('DELETE', f'/v1/requests/{quote(call, safe="")}')
+        await self.fetch('DELETE', f'/v1/requests/{quote(call, safe="")}')
 
     async def list_cache(self) -> dict[str, int]:
         """Give the cached tokens by program."""
-        body = await self.ask('GET', '/v1/cache')
+        body = await self.fetch('GET', '/v1/cache')
         try:
-            return HELD_DECODER.decode(body)
+            return CACHE_DECODER.decode(body)
         except msgspec.DecodeError as error:
-            raise garbage(error) from error
+            raise invalid_response(error) from error
 
     async def release_memory(self, program: str) -> None:
         """Return the memory that a program holds."""
-        await self.ask('DELETE', f'/v1/cache/{quote(program, safe="")}')
+        await self.fetch('DELETE', f'/v1/cache/{quote(program, safe="")}')
 
-    async def ask(self, method: str, path: str) -> bytes:
+    async def fetch(self, method: str, path: str) -> bytes:
         """Ask a short question."""
-        timeout = aiohttp.ClientTimeout(total=ANSWER_TIMEOUT_S)
+        timeout = aiohttp.ClientTimeout(total=RESPONSE_TIMEOUT_S)
         try:
             async with self.open_session().request(
                 method,
@@ -153,7 +153,7 @@
     """Read an engine's events to their end."""
     reader = StreamReader()
     async for line in response.content:
-        for item in reader.take(line):
+        for item in reader.parse_line(line):
             yield item
 
 
@@ -166,7 +166,7 @@
         self.offset: int | None = None
         self.usage: Usage = {}
 
-    def take(self, line: bytes) -> list[Tokens | Answer]:
+    def parse_line(self, line: bytes) -> list[Tokens | Answer]:
         """Read one line.
 
         Raises:
@@ -180,7 +180,7 @@
         try:
             chunk = CHUNK_DECODER.decode(data)
         except msgspec.DecodeError as error:
-            raise garbage(error) from error
+            raise invalid_response(error) from error
         return list(self.tokens(chunk))
 
     def tokens(self, chunk: Chunk) -> list[Tokens]:
@@ -232,7 +232,7 @@
     raise ConnectionLost(f'the engine answered {status}')
 
 
-def garbage(error: Exception) -> Refusal:
+def invalid_response(error: Exception) -> Refusal:
     """Refuse what an engine sent."""
     return Refusal(
         RefusalCode.UPSTREAM_FAILED,
--- a/pollenwalk/connection/peer.py
+++ b/pollenwalk/connection/peer.py
@@ -43,7 +43,7 @@
 END = object()
 
 
-def is_last(item: Any) -> bool:
+def ends_exchange(item: Any) -> bool:
     """Tell whether an exchange ends with this."""
     return item is END or isinstance(item, Exception)
 
@@ -71,14 +71,14 @@
         """Write until the channel ends."""
         while True:
             await self.waiting.wait()
-            await self.gather_company()
+            await self.wait_for_batch()
             batch = self.queue
             self.queue = []
             self.waiting.clear()
             self.urgent.clear()
             await self.channel.send(encode_frames(batch))
 
-    async def gather_company(self) -> None:
+    async def wait_for_batch(self) -> None:
         """Wait for more tokens unless something urgent is queued."""
         if self.urgent.is_set() or not self.window_ms:
             return
@@ -89,7 +89,7 @@
             return
 
 
-class Exchanges:
+class PendingRequests:
     """The open questions of one connection."""
 
     def __init__(self) -> None:
@@ -130,7 +130,7 @@
         self.channel = channel
         self.tasks = tasks
         self.writer = FrameWriter(channel, clock, 0)
-        self.exchanges = Exchanges()
+        self.exchanges = PendingRequests()
         self.lost = False
         self.boot_id = ''
 
@@ -182,12 +182,12 @@
         try:
             while True:
                 item = await queue.get()
-                if is_last(item):
+                if ends_exchange(item):
                     break
                 yield item
         finally:
             self.exchanges.queues.pop(number, None)
-            if not is_last(item) and not self.lost:
+            if not ends_exchange(item) and not self.lost:
                 self.writer.put(Frame(number, CANCEL_KIND, None))
         if item is not END:
             raise item
@@ -222,7 +222,7 @@
         self.connection: Connection | None = None
         # Set where every question is answered soon, so that silence means
         # that the connection is dead.
-        self.drops_when_silent = False
+        self.close_on_timeout = False
 
     def identify(self, incarnation: str, zone: str) -> 'Peer':
         """Set who this side is, for the greeting."""
@@ -273,12 +273,12 @@
                 connection = await self.ensure_connected()
                 return await connection.request(message)
         except TimeoutError as error:
-            self.drop_silent()
+            self.drop_unresponsive()
             raise ConnectionLost(f'{self.address} is silent') from error
 
-    def drop_silent(self) -> None:
+    def drop_unresponsive(self) -> None:
         """Give up a connection on which no answer came."""
-        if self.drops_when_silent and self.connection is not None:
+        if self.close_on_timeout and self.connection is not None:
             self.tasks.spawn(self.connection.close(), 'drop_silent')
             self.connection = None
 
@@ -298,7 +298,7 @@
             await self.connection.close()
 
 
-class Questions:
+class RequestTasks:
     """The tasks that answer the open questions of one channel."""
 
     def __init__(self, tasks: TaskSet) -> None:
@@ -366,7 +366,7 @@
     ) -> None:
         """Start a task for each question, stop it when it is cancelled."""
         hello: Hello | None = None
-        questions = Questions(tasks)
+        questions = RequestTasks(tasks)
         while True:
             for frame in decode_frames(await channel.receive()):
                 if hello is None:
--- a/pollenwalk/process/keeper_links.py
+++ b/pollenwalk/process/keeper_links.py
@@ -80,7 +80,7 @@
         known = self.by_name.get(member.name)
         if known is None or known.member.address != member.address:
             peer = Peer(member.address, self.network, self.clock, self.tasks)
-            peer.drops_when_silent = True
+            peer.close_on_timeout = True
             known = KeeperLink(member, peer, self.distance(member.zone))
             self.by_name[member.name] = known
         known.member = member
--- a/test/connection/test_wire.py
+++ b/test/connection/test_wire.py
@@ -56,7 +56,7 @@
     @hypothesis.given(strategies.binary(max_size=100))
     def test_engine_noise_is_refused(self, noise: bytes) -> None:
         try:
-            StreamReader().take(b'data: ' + noise)
+            StreamReader().parse_line(b'data: ' + noise)
         except Refusal:
             return
 
