--- a/pollenwalk/process/host_list.py
+++ b/pollenwalk/process/host_list.py
@@ -1,10 +1,12 @@
 """Polls the platform's list of hosts, which serves only as a hint."""
 
+from typing import Protocol
+
 from loguru import logger
+
 from pollenwalk.errors import ConnectionLost
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.fleet import Fleet
-from typing import Protocol
 
 POLL_INTERVAL_MS = 1000
 
--- a/pollenwalk/process/keeper_links.py
+++ b/pollenwalk/process/keeper_links.py
@@ -4,17 +4,17 @@
 it. Until then no requests are sent to it, so that none waits for its timeout.
 """
 
+from typing import Any
+
 from loguru import logger
+
 from pollenwalk.connection.channel import StreamNetwork
 from pollenwalk.connection.peer import Peer
-from pollenwalk.errors import ConnectionLost
-from pollenwalk.errors import PollenwalkError
+from pollenwalk.errors import ConnectionLost, PollenwalkError
 from pollenwalk.process.clock import Clock
-from pollenwalk.process.keeper_members import Member
-from pollenwalk.process.keeper_members import Members
+from pollenwalk.process.keeper_members import Member, Members
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.program.turns import Settlements
-from typing import Any
 
 # Timeout of a request: enough for a round trip between regions, two syncs of
 # the disk and the retransmission of a lost packet.
