--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from pollenwalk.connection.channel import StreamNetwork
-from pollenwalk.connection.link_pool import LinkPool
+from pollenwalk.connection.connection_pool import ConnectionPool
 from pollenwalk.errors import Outcome, Refusal, RefusalCode, StoreUnavailable
 from pollenwalk.platform.documents import CONFIGURATION_PREFIX, HOSTS_PREFIX
 from pollenwalk.policy.host_choice import EarliestFinish
@@ -93,7 +93,7 @@
         self.tasks = TaskSet()
         self.active_configuration = ActiveConfiguration()
         self.host_table = HostTable(clock)
-        self.pool = LinkPool(clock)
+        self.pool = ConnectionPool(clock)
         self.stopping = False
         call_placer = CallPlacer(
             clock,
@@ -188,7 +188,7 @@
         """Mark the host table as loaded and close connections to removed hosts."""
         self.host_table.loaded = True
         self.host_table.store_answered()
-        self.pool.drop(set(self.host_table.states))
+        self.pool.close_all_except(set(self.host_table.states))
 
     def on_store_unavailable(self, what: str, error: StoreUnavailable) -> None:
         """Record that the store did not answer, so that lists may be stale."""
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -155,5 +155,5 @@
         intent.upstream,
         intent.operation,
         intent.argument,
-        deadline_in_ms=RECOVERY_TIMEOUT_MS,
+        time_left_ms=RECOVERY_TIMEOUT_MS,
     )
--- a/pollenwalk/request/exchange.py
+++ b/pollenwalk/request/exchange.py
@@ -4,8 +4,8 @@
 from http import HTTPStatus
 from types import TracebackType
 
-from pollenwalk.connection.link_pool import LinkPool
-from pollenwalk.connection.upstream_link import UpstreamLink
+from pollenwalk.connection.connection_pool import ConnectionPool
+from pollenwalk.connection.upstream_connection import UpstreamConnection
 from pollenwalk.process.host_table import HostState
 from pollenwalk.request.http_messages import AnswerHead
 
@@ -23,7 +23,9 @@
         complete: whether the answer was read to its end.
     """
 
-    def __init__(self, pool: LinkPool, state: HostState, link: UpstreamLink) -> None:
+    def __init__(
+        self, pool: ConnectionPool, state: HostState, link: UpstreamConnection
+    ) -> None:
         """Use `link`, taken from `pool`, for a call at the host of `state`."""
         self.pool = pool
         self.state = state
@@ -55,7 +57,7 @@
         self.closed = True
         self.state.in_flight -= 1
         if self.complete:
-            self.pool.give_back(self.state.registration, self.link)
+            self.pool.release(self.state.registration, self.link)
         else:
             self.link.abort()
 
--- a/test/connection/test_upstream_link.py
+++ b/test/connection/test_upstream_connection.py
@@ -6,7 +6,10 @@
 
 import testtools
 
-from pollenwalk.connection.upstream_link import UpstreamLink, open_link
+from pollenwalk.connection.upstream_connection import (
+    UpstreamConnection,
+    open_upstream_connection,
+)
 from pollenwalk.errors import BrokenAnswer, NotSent
 from standin.platform.host import (
     SIGNED,
@@ -136,7 +139,7 @@
 )
 
 
-async def ask(link: UpstreamLink) -> bytes:
+async def ask(link: UpstreamConnection) -> bytes:
     """Send one request and read the whole answer."""
     await link.send(
         b'POST',
@@ -144,7 +147,7 @@
         [(b'host', b'h'), (b'x-pollenwalk-request-id', ID.encode())],
         b'input',
     )
-    await link.head(ID)
+    await link.read_head(ID)
     return b''.join([part async for part in link.chunks()])
 
 
@@ -160,7 +163,7 @@
     async def run_case(self, case: Case) -> None:
         host = ScriptedHost('i-1', case.script)
         listed = await host.start()
-        link = await open_link(listed.address, 1)
+        link = await open_upstream_connection(listed.address, 1)
         try:
             body = await ask(link)
         except BrokenAnswer:
@@ -168,7 +171,7 @@
             link.abort()
         else:
             self.assertEqual(case.body, body, case.name)
-            self.assertEqual(case.reusable, link.release(), case.name)
+            self.assertEqual(case.reusable, link.finish_exchange(), case.name)
         self.assertEqual([b'input'], [one.body for one in host.received])
         self.assertEqual(['/p/1?x=%20'], [one.target for one in host.received])
         host.stop()
@@ -185,9 +188,9 @@
             line.say(answer(request))
 
         host = ScriptedHost('i-1', script)
-        link = await open_link((await host.start()).address, 1)
+        link = await open_upstream_connection((await host.start()).address, 1)
         await ask(link)
-        self.assertTrue(link.release())
+        self.assertTrue(link.finish_exchange())
         lines[0].say(answer(OTHER, b'late'))
         await asyncio.sleep(ARRIVAL_S)
         self.assertFalse(link.reusable)
@@ -198,10 +201,10 @@
     @on_loop
     async def test_second_request_on_one_connection(self) -> None:
         host = ScriptedHost('i-1', says(answer))
-        link = await open_link((await host.start()).address, 1)
+        link = await open_upstream_connection((await host.start()).address, 1)
         for _ in range(2):
             self.assertEqual(b'hello', await ask(link))
-            self.assertTrue(link.release())
+            self.assertTrue(link.finish_exchange())
         self.assertEqual(1, host.connections)
         host.stop()
 
@@ -211,7 +214,7 @@
         listed = await host.start()
         host.stop()
         with testtools.ExpectedException(NotSent):
-            await open_link(listed.address, 1)
+            await open_upstream_connection(listed.address, 1)
 
     @on_loop
     async def test_events_arrive_before_the_stream_ends(self) -> None:
@@ -220,9 +223,9 @@
             await line.gone()
 
         host = ScriptedHost('i-1', script)
-        link = await open_link((await host.start()).address, 1)
+        link = await open_upstream_connection((await host.start()).address, 1)
         await link.send(b'POST', b'/', [(b'host', b'h')], b'')
-        await link.head(ID)
+        await link.read_head(ID)
         self.assertEqual(event(1), await anext(link.chunks()))
         link.abort()
         host.stop()
