--- a/pollenwalk/platform/headers.py
+++ b/pollenwalk/platform/headers.py
@@ -1,4 +1,4 @@
-"""The platform's headers, decoded once and written in one place."""
+"""The platform's HTTP headers: their names, decoding and encoding."""
 
 from collections.abc import Iterable
 
@@ -10,28 +10,28 @@
 )
 
 MS_PER_SECOND = 1000
-PREFIX = b'x-pollenwalk-'
+HEADER_PREFIX = b'x-pollenwalk-'
 REQUEST_ID = b'x-pollenwalk-request-id'
 DEADLINE = b'x-pollenwalk-deadline-ms'
-PROGRAM = b'x-pollenwalk-program-id'
-SESSION = b'x-pollenwalk-session-id'
+PROGRAM_ID = b'x-pollenwalk-program-id'
+SESSION_ID = b'x-pollenwalk-session-id'
 PROGRAM_DEADLINE = b'x-pollenwalk-program-deadline-ms'
-BUDGET = b'x-pollenwalk-token-budget'
-# The prompt's tokens and the most that are generated, separated by a comma.
-TOKENS = b'x-pollenwalk-token-usage'
+TOKEN_BUDGET = b'x-pollenwalk-token-budget'
+# The prompt's tokens and the most tokens to generate, separated by a comma.
+TOKEN_USAGE = b'x-pollenwalk-token-usage'
 LENGTH_HINT = b'x-pollenwalk-length-hint'
-PARTS = b'x-pollenwalk-prompt-prefix'
-PREVIOUS = b'x-pollenwalk-previous-turn'
-LAST_EVENT = b'last-event-id'
+PROMPT_PARTS = b'x-pollenwalk-prompt-prefix'
+PREVIOUS_TURN = b'x-pollenwalk-previous-turn'
+LAST_EVENT_ID = b'last-event-id'
 EXPECT_INSTANCE = b'x-pollenwalk-expect-instance'
 PRIORITY = b'x-pollenwalk-request-priority'
 SIGNATURE = b'x-pollenwalk-server-signature'
 NOT_EXECUTED = b'x-pollenwalk-not-executed'
-# Running and waiting requests and the number of slots.
-LOAD = b'x-pollenwalk-server-load'
+# Running requests, waiting requests and slots of a host, separated by commas.
+SERVER_LOAD = b'x-pollenwalk-server-load'
 RETRY_AFTER = b'retry-after'
 KEEP_ALIVE = b'keep-alive'
-ENCODING = b'content-encoding'
+CONTENT_ENCODING = b'content-encoding'
 
 HOP_BY_HOP = frozenset(
     (
@@ -48,7 +48,7 @@
         b'expect',
     ),
 )
-# Only this system may set these.
+# Only pollenwalk may set these; they are removed from callers' requests.
 RESERVED = frozenset(
     (
         DEADLINE,
@@ -62,31 +62,32 @@
         b'kv-fetch',
     ),
 )
+# HTTP status of a host that is not the one a request was meant for.
 MISDIRECTED = 421
 
 
 def read_request_metadata(headers: Iterable[tuple[bytes, bytes]]) -> RequestMetadata:
-    """Decode what a request says of itself; bad numbers count as absent."""
+    """Decode the headers of a caller's request; malformed numbers are ignored."""
     found = {name: field.decode('latin-1').strip() for name, field in headers}
-    prompt, most = read_pair(found.get(TOKENS, ''))
+    prompt_tokens, max_tokens = read_pair(found.get(TOKEN_USAGE, ''))
     return RequestMetadata(
         id=found.get(REQUEST_ID, ''),
         deadline_ms=read_float(found.get(DEADLINE)),
-        program=found.get(PROGRAM, ''),
-        session=found.get(SESSION, ''),
+        program=found.get(PROGRAM_ID, ''),
+        session=found.get(SESSION_ID, ''),
         program_remaining_ms=read_float(found.get(PROGRAM_DEADLINE)),
-        budget=read_int(found.get(BUDGET)),
-        prompt_tokens=prompt,
-        max_tokens=most,
+        budget=read_int(found.get(TOKEN_BUDGET)),
+        prompt_tokens=prompt_tokens,
+        max_tokens=max_tokens,
         expected_tokens=read_int(found.get(LENGTH_HINT)) or 0,
-        prompt_parts=read_parts(found.get(PARTS, '')),
-        previous=found.get(PREVIOUS, ''),
-        resumes=LAST_EVENT in found,
+        prompt_parts=read_parts(found.get(PROMPT_PARTS, '')),
+        previous=found.get(PREVIOUS_TURN, ''),
+        resumes=LAST_EVENT_ID in found,
     )
 
 
 def read_float(text: str | None) -> float | None:
-    """Read a number."""
+    """Return the number that a header holds; None if it is absent or malformed."""
     try:
         return None if text is None else float(text)
     except ValueError:
@@ -94,37 +95,37 @@
 
 
 def read_int(text: str | None) -> int | None:
-    """Read a whole number."""
+    """Return a number without its fraction; None if it is absent or malformed."""
     number = read_float(text)
     return None if number is None else int(number)
 
 
 def read_pair(text: str) -> tuple[int, int]:
-    """Read two whole numbers."""
+    """Return two whole numbers separated by a comma; 0 for a missing one."""
     first, _, second = text.partition(',')
     return read_int(first) or 0, read_int(second) or 0
 
 
 def read_parts(text: str) -> tuple[PromptPart, ...]:
-    """Read the parts of a prompt."""
+    """Return the parts of a prompt, from `id:tokens` separated by commas."""
     pairs = (part.strip().partition(':') for part in text.split(',') if part)
     return tuple(PromptPart(name, read_int(size) or 0) for name, _, size in pairs)
 
 
 def connection_options(headers: Iterable[tuple[bytes, bytes]]) -> frozenset[bytes]:
-    """Give the headers that a `Connection` header claims for itself."""
-    named = b','.join(field for name, field in headers if name == b'connection')
-    return frozenset(one.strip().lower() for one in named.split(b','))
+    """Return the names of the headers that `Connection` headers list."""
+    listed = b','.join(field for name, field in headers if name == b'connection')
+    return frozenset(name.strip().lower() for name in listed.split(b','))
 
 
 def end_to_end_headers(headers: Headers) -> Headers:
-    """Leave out what concerns one connection."""
+    """Return the headers without those that concern one connection only."""
     dropped = HOP_BY_HOP | connection_options(headers)
     return [(name, field) for name, field in headers if name not in dropped]
 
 
 def forwardable_headers(headers: Headers) -> Headers:
-    """Leave out what concerns one connection and what only we may set."""
+    """Return the headers of a caller's request that are sent to a host."""
     return [
         (name, field)
         for name, field in end_to_end_headers(headers)
@@ -137,12 +138,12 @@
     deadline_ms: float,
     priority: int | None,
 ) -> Headers:
-    """Write what we add to a request for one upstream host.
+    """Return the headers that are added to a request for one upstream host.
 
     Args:
-        host: the id of the start that is meant.
-        deadline_ms: how long the host may work on it.
-        priority: from 0, most urgent, to 9; None for the usual one.
+        host: id of the host's start that the request is meant for.
+        deadline_ms: how long the host may work on the request.
+        priority: from 0, the most urgent, to 9; None for the host's default.
     """
     added = [
         (EXPECT_INSTANCE, host.encode('latin-1')),
@@ -154,17 +155,17 @@
 
 
 def resume_header(last_event: str) -> tuple[bytes, bytes]:
-    """Ask for what follows an event."""
-    return LAST_EVENT, last_event.encode('latin-1')
+    """Return the header that asks for the events after `last_event`."""
+    return LAST_EVENT_ID, last_event.encode('latin-1')
 
 
 def retry_header(retry_after_ms: float) -> tuple[bytes, bytes]:
-    """Say when to come back."""
+    """Return the header with the time, in seconds, after which to try again."""
     return RETRY_AFTER, f'{retry_after_ms / MS_PER_SECOND:.3f}'.encode()
 
 
 def read_answer_head(status: int, headers: Headers) -> AnswerHead:
-    """Decode the beginning of an upstream host's answer."""
+    """Decode the status and the headers of an upstream host's answer."""
     found = {name: field.decode('latin-1').strip() for name, field in headers}
     retry_s = read_float(found.get(RETRY_AFTER))
     return AnswerHead(
@@ -173,15 +174,18 @@
         request=found.get(REQUEST_ID, ''),
         signed=SIGNATURE in found,
         refused=NOT_EXECUTED in found or status == MISDIRECTED,
-        encoded=ENCODING in found,
-        load=read_load(found.get(LOAD, '')),
+        encoded=CONTENT_ENCODING in found,
+        load=read_load(found.get(SERVER_LOAD, '')),
         keep_alive_ms=read_keep_alive(found.get(KEEP_ALIVE, '')),
         retry_after_ms=None if retry_s is None else retry_s * MS_PER_SECOND,
     )
 
 
 def read_load(text: str) -> tuple[int, int, int] | None:
-    """Read a host's load."""
+    """Return a host's running and waiting requests and its slots.
+
+    None if the header is absent or malformed.
+    """
     numbers = [read_int(part) for part in text.split(',')]
     if len(numbers) != 3 or None in numbers:
         return None
@@ -190,7 +194,7 @@
 
 
 def read_keep_alive(text: str) -> float | None:
-    """Read how long a connection may stay idle, in ms."""
+    """Return how long a connection may stay idle, in ms; None if not given."""
     for part in text.split(','):
         name, _, seconds = part.strip().partition('=')
         number = read_float(seconds) if name.lower() == 'timeout' else None
--- a/test/platform/test_headers.py
+++ b/test/platform/test_headers.py
@@ -1,4 +1,4 @@
-"""The platform's headers."""
+"""Tests of decoding and encoding the platform's headers."""
 
 import testtools
 
@@ -12,10 +12,10 @@
 from pollenwalk.request.http_messages import PromptPart
 
 
-class TraitsTest(testtools.TestCase):
-    """What a request says of itself."""
+class RequestMetadataTest(testtools.TestCase):
+    """Decoding the headers of a request."""
 
-    def test_all(self) -> None:
+    def test_all_headers(self) -> None:
         metadata = read_request_metadata(
             [
                 (b'x-pollenwalk-request-id', b'9c41'),
@@ -45,26 +45,26 @@
         self.assertEqual('e5b2', metadata.previous)
         self.assertTrue(metadata.resumes)
 
-    def test_none_and_nonsense(self) -> None:
-        nothing = read_request_metadata([])
-        self.assertIsNone(nothing.deadline_ms)
-        self.assertIsNone(nothing.budget)
-        nonsense = read_request_metadata(
+    def test_missing_and_malformed_headers(self) -> None:
+        empty = read_request_metadata([])
+        self.assertIsNone(empty.deadline_ms)
+        self.assertIsNone(empty.budget)
+        malformed = read_request_metadata(
             [
                 (b'x-pollenwalk-deadline-ms', b'soon'),
                 (b'x-pollenwalk-token-usage', b'many'),
                 (b'x-pollenwalk-prompt-prefix', b',,:'),
             ],
         )
-        self.assertIsNone(nonsense.deadline_ms)
-        self.assertEqual(0, nonsense.max_tokens)
+        self.assertIsNone(malformed.deadline_ms)
+        self.assertEqual(0, malformed.max_tokens)
 
 
-class PassedOnTest(testtools.TestCase):
-    """Which headers go on."""
+class ForwardedHeadersTest(testtools.TestCase):
+    """Headers that are forwarded to an upstream host."""
 
-    def test_of_one_connection_and_ours_are_dropped(self) -> None:
-        given = [
+    def test_hop_by_hop_and_reserved_headers_are_removed(self) -> None:
+        received = [
             (b'host', b'a.example'),
             (b'connection', b'close, X-Hop'),
             (b'x-hop', b'1'),
@@ -85,10 +85,10 @@
                 (b'x-pollenwalk-request-id', b'9c41'),
                 (b'accept', b'text/event-stream'),
             ],
-            forwardable_headers(given),
+            forwardable_headers(received),
         )
 
-    def test_ours_are_set(self) -> None:
+    def test_added_headers(self) -> None:
         self.assertEqual(
             [
                 (b'x-pollenwalk-expect-instance', b'i-1'),
@@ -102,10 +102,10 @@
         self.assertEqual((b'retry-after', b'0.250'), retry_header(250))
 
 
-class AnswerTest(testtools.TestCase):
-    """What an answer says."""
+class AnswerHeadTest(testtools.TestCase):
+    """Decoding the headers of an upstream host's answer."""
 
-    def test_all(self) -> None:
+    def test_all_headers(self) -> None:
         head = read_answer_head(
             200,
             [
@@ -124,14 +124,14 @@
         self.assertIn((b'content-type', b'text/plain'), head.headers)
         self.assertNotIn((b'content-length', b'3'), head.headers)
 
-    def test_proofs_that_it_did_not_run(self) -> None:
+    def test_proof_that_the_request_did_not_run(self) -> None:
         self.assertTrue(
             read_answer_head(503, [(b'x-pollenwalk-not-executed', b'1')]).refused
         )
         self.assertTrue(read_answer_head(421, []).refused)
         self.assertFalse(read_answer_head(503, []).refused)
 
-    def test_a_load_that_makes_no_sense_is_none(self) -> None:
+    def test_malformed_load_is_ignored(self) -> None:
         self.assertIsNone(
             read_answer_head(200, [(b'x-pollenwalk-server-load', b'3,x')]).load,
         )
