--- a/pollenwalk/platform/documents.py
+++ b/pollenwalk/platform/documents.py
@@ -1,4 +1,4 @@
-"""The objects that the operator and the upstreams write, decoded."""
+"""Decoders of the store's objects that the operator and upstream hosts write."""
 
 from typing import Any, NotRequired, TypedDict
 
@@ -28,6 +28,7 @@
     'unsafe': CallKind.UNSAFE,
     'streaming': CallKind.STREAM,
 }
+# Whether an upstream host that reports a state accepts no new calls.
 LEAVING_BY_STATE = {'ready': False, 'draining': True}
 
 
@@ -39,7 +40,11 @@
 
 
 class WireRoute(TypedDict):
-    """A route as the operator writes it."""
+    """An entry of `routes`, as the operator writes it.
+
+    See `Route` for what the fields mean; `gap_aim_ms` is its
+    `pause_target_ms`.
+    """
 
     name: str
     host: str
@@ -66,7 +71,7 @@
 
 
 class WireService(TypedDict):
-    """A service as the operator writes it."""
+    """An entry of `services`, as the operator writes it."""
 
     name: str
     max_conns: int
@@ -74,7 +79,7 @@
 
 
 class WireLimits(TypedDict):
-    """What callers are held to."""
+    """The limits of callers' requests."""
 
     max_body_bytes: int
 
@@ -89,9 +94,11 @@
 
 
 class WireServer(TypedDict):
-    """An upstream host's entry.
+    """The object of an upstream host.
 
-    `version` is that of its software, `born` the Unix time of its start.
+    `born` is the Unix time of the host's start and `cold_left_ms` how much
+    longer it is slow after it. The object's `version` is that of the host's
+    software and is not decoded.
     """
 
     service: str
@@ -104,7 +111,7 @@
 
 
 class WireRetirement(TypedDict):
-    """A request to empty a storage host within `duration_s`."""
+    """A request to empty the keeper of a storage host within `duration_s`."""
 
     duration_s: float
 
@@ -115,10 +122,10 @@
 
 
 def decode(decoder: msgspec.json.Decoder[Any], key: str, body: bytes) -> Any:
-    """Decode one object.
+    """Decode the body of an object.
 
     Raises:
-        MalformedObject: it is not what its kind should be.
+        MalformedObject: the body is not JSON of the expected form.
     """
     try:
         return decoder.decode(body)
@@ -130,23 +137,29 @@
     """Decode the operator's configuration.
 
     Raises:
-        MalformedObject: it is no configuration.
+        MalformedObject: the body or one of its routes is not valid.
     """
     wire: WireConfiguration = decode(CONFIGURATION_DECODER, key, body)
     return RoutingConfiguration(
         wire['version'],
-        index_routes([decode_route(key, one) for one in wire['routes']]),
-        {one['name']: decode_upstream(one) for one in wire['services']},
+        index_routes([decode_route(key, route) for route in wire['routes']]),
+        {service['name']: decode_upstream(service) for service in wire['services']},
         CallerLimits(wire['limits']['max_body_bytes']),
     )
 
 
 def decode_route(key: str, wire: WireRoute) -> Route:
-    """Decode one route."""
+    """Decode one route.
+
+    Raises:
+        MalformedObject: the route's kind is unknown, or it has no upstream.
+    """
     kind = CALL_KINDS.get(wire['kind'])
     shares = decode_shares(wire)
     if kind is None or not shares:
-        raise MalformedObject(f'{key}: route {wire["name"]!r}')
+        raise MalformedObject(
+            f'{key}: route {wire["name"]!r}: unknown kind or no upstream'
+        )
     timeout_ms = wire['timeout_ms']
     return Route(
         name=wire['name'],
@@ -166,10 +179,13 @@
 
 
 def decode_shares(wire: WireRoute) -> tuple[Share, ...]:
-    """Read the upstreams of a route, whichever way they are written."""
+    """Return a route's upstreams, from `traffic_split` or else from `service`.
+
+    Upstreams of weight 0 are left out.
+    """
     split = wire.get('traffic_split') or []
     shares = tuple(
-        Share(one['service'], one['weight']) for one in split if one['weight'] > 0
+        Share(part['service'], part['weight']) for part in split if part['weight'] > 0
     )
     service = wire.get('service')
     if shares or not service:
@@ -178,7 +194,7 @@
 
 
 def decode_upstream(wire: WireService) -> Upstream:
-    """Decode one service."""
+    """Decode an entry of `services`."""
     engine = wire.get('engine')
     if engine is None:
         return Upstream(wire['name'], wire['max_conns'], None)
@@ -190,16 +206,16 @@
 
 
 def decode_host(key: str, body: bytes) -> UpstreamHost:
-    """Decode an upstream host's entry; its id is the object's name.
+    """Decode the object of an upstream host; the object's name is the host's id.
 
     Raises:
-        MalformedObject: it names no host that can be used.
+        MalformedObject: the body, the host's state or its address is not valid.
     """
     wire: WireServer = decode(SERVER_DECODER, key, body)
     leaving = LEAVING_BY_STATE.get(wire['state'])
     address, _, port = wire['address'].rpartition(':')
     if leaving is None or not address or not port.isdecimal():
-        raise MalformedObject(f'{key}: state or address')
+        raise MalformedObject(f'{key}: unknown state or malformed address')
     return UpstreamHost(
         id=key.removeprefix(HOSTS_PREFIX),
         upstream=wire['service'],
@@ -213,15 +229,15 @@
 
 
 def retirement_status(done: bool) -> dict[str, str]:
-    """Write how far the emptying of a storage host is."""
+    """Return the status of a request to empty a storage host."""
     return {'state': 'completed' if done else 'running'}
 
 
 def decode_retirement(key: str, body: bytes) -> float:
-    """Give the time in ms within which a storage host is to be emptied.
+    """Return the time in ms within which a storage host is to be emptied.
 
     Raises:
-        MalformedObject: it is no such request.
+        MalformedObject: the body is not valid.
     """
     wire: WireRetirement = decode(RETIREMENT_DECODER, key, body)
     return wire['duration_s'] * MS_PER_SECOND
--- a/test/platform/test_documents.py
+++ b/test/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""The objects of the operator and of the upstream hosts."""
+"""Tests of decoding the objects of the operator and of upstream hosts."""
 
 import json
 from typing import Any
@@ -63,7 +63,7 @@
 
 
 def without(document: dict[str, Any], key: str) -> dict[str, Any]:
-    """Leave out one key."""
+    """Return a copy of a document without one key."""
     return {name: field for name, field in document.items() if name != key}
 
 
@@ -82,52 +82,52 @@
 
 
 class HostsTest(testtools.TestCase):
-    """Entries of upstream hosts."""
+    """Decoding the objects of upstream hosts."""
 
-    def test_whole(self) -> None:
+    def test_all_fields(self) -> None:
         host = decode_host('servers/i-1', json.dumps({**HOST, 'born': 5}).encode())
         self.assertEqual('i-1', host.id)
         self.assertEqual('10.128.0.9:8080', host.address)
         self.assertEqual(5, host.born_ms)
         self.assertFalse(host.leaving)
 
-    def test_leaving(self) -> None:
+    def test_draining_host_is_leaving(self) -> None:
         body = json.dumps({**HOST, 'state': 'draining'}).encode()
         self.assertTrue(decode_host('servers/i-1', body).leaving)
 
-    def test_unreadable_ones_name_no_host(self) -> None:
+    def test_unreadable_objects_are_refused(self) -> None:
         for body in UNREADABLE_HOSTS:
             with testtools.ExpectedException(MalformedObject):
                 decode_host('servers/i-1', body)
 
 
 class ConfigurationTest(testtools.TestCase):
-    """The operator's configuration."""
+    """Decoding the operator's configuration."""
 
-    def test_routes(self) -> None:
-        found = decode_configuration('c', json.dumps(CONFIGURATION).encode())
-        self.assertEqual(7, found.version)
-        short = found.match('ficu95.example:80', '/pufi/x')
+    def test_fields_of_a_route(self) -> None:
+        configuration = decode_configuration('c', json.dumps(CONFIGURATION).encode())
+        self.assertEqual(7, configuration.version)
+        short = configuration.match('ficu95.example:80', '/pufi/x')
         assert short is not None
         self.assertEqual('r1', short.name)
         self.assertEqual(CallKind.STREAM, short.kind)
         self.assertEqual(60_000, short.retention_ms)
         self.assertFalse(short.idempotent)
-        self.assertEqual(14, found.tokens_per_event(short))
+        self.assertEqual(14, configuration.tokens_per_event(short))
 
     def test_the_longest_prefix_wins(self) -> None:
-        found = decode_configuration('c', json.dumps(CONFIGURATION).encode())
-        longer = found.match('ficu95.example', '/pufi/long/x')
+        configuration = decode_configuration('c', json.dumps(CONFIGURATION).encode())
+        longer = configuration.match('ficu95.example', '/pufi/long/x')
         assert longer is not None
         self.assertEqual('r2', longer.name)
         self.assertEqual((Share('huvo', 90),), longer.shares)
 
-    def test_no_route(self) -> None:
-        found = decode_configuration('c', json.dumps(CONFIGURATION).encode())
-        self.assertIsNone(found.match('ficu95.example', '/pufix'))
-        self.assertIsNone(found.match('other.example', '/pufi/x'))
+    def test_no_matching_route(self) -> None:
+        configuration = decode_configuration('c', json.dumps(CONFIGURATION).encode())
+        self.assertIsNone(configuration.match('ficu95.example', '/pufix'))
+        self.assertIsNone(configuration.match('other.example', '/pufi/x'))
 
-    def test_unreadable(self) -> None:
+    def test_unreadable_configurations_are_refused(self) -> None:
         for broken in (
             without(CONFIGURATION, 'version'),
             {**CONFIGURATION, 'routes': [{**ROUTE, 'kind': 'magic'}]},
