--- a/pollenwalk/platform/__init__.py
+++ b/pollenwalk/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The adapter to the users' platform: names, formats and calls.
+"""The adapter to the users' platform: its names, formats and requests.
 
-Everything that is spelled the platform's way is decoded here, once, into
-types of the product. Nothing in this package decides.
+This package alone knows how the platform names and encodes things, and decodes
+them into the types of pollenwalk. It makes no scheduling decisions.
 """
--- a/pollenwalk/platform/deploy_file.py
+++ b/pollenwalk/platform/deploy_file.py
@@ -1,4 +1,4 @@
-"""The file that tells the platform which of our processes run on which hosts."""
+"""The deploy file, from which the platform learns what runs on which hosts."""
 
 import tomllib
 from pathlib import Path
@@ -9,12 +9,12 @@
 
 
 class DeployedRole(NamedTuple):
-    """A kind of process and where it runs.
+    """A kind of process and the hosts that run it.
 
     Attributes:
-        name: of the role, ours.
-        host_class: of the hosts that run it.
-        template: the file that its settings are made from.
+        name: pollenwalk's name of the role.
+        host_class: class of the hosts that run the role.
+        template: the template of the role's settings file.
     """
 
     name: str
@@ -23,10 +23,12 @@
 
 
 def read_deploy_file(path: Path) -> list[DeployedRole]:
-    """Read the roles of a deploy file; templates are relative to its project.
+    """Read the roles of a deploy file.
+
+    The paths of templates are relative to the parent of the file's directory.
 
     Raises:
-        UserError: it can't be read, or a role lacks something.
+        UserError: the file can't be read, has no role or an incomplete one.
     """
     try:
         deploy = tomllib.loads(read_text(path))
@@ -35,14 +37,24 @@
     project = path.resolve().parent.parent
     roles = deploy.get('roles')
     if not isinstance(roles, dict) or not roles:
-        raise UserError(f'{path}: no [roles.NAME]')
+        raise UserError(f'{path}: no section [roles.NAME]')
     return [read_role(path, project, name, entry) for name, entry in roles.items()]
 
 
 def read_role(path: Path, project: Path, name: str, entry: object) -> DeployedRole:
-    """Read one role."""
-    entry_table = entry if isinstance(entry, dict) else {}
+    """Read one role.
+
+    Args:
+        path: the deploy file, for errors.
+        project: the directory that the template's path is relative to.
+        name: name of the role.
+        entry: the role's section as parsed from TOML.
+
+    Raises:
+        UserError: the role lacks a key, or its value is no string.
+    """
+    section = entry if isinstance(entry, dict) else {}
     for key in ('run', 'on', 'template'):
-        if not isinstance(entry_table.get(key), str):
+        if not isinstance(section.get(key), str):
             raise UserError(f'{path}: [roles.{name}] needs {key} = "..."')
-    return DeployedRole(name, entry_table['on'], project / entry_table['template'])
+    return DeployedRole(name, section['on'], project / section['template'])
--- a/pollenwalk/platform/names.py
+++ b/pollenwalk/platform/names.py
@@ -1,3 +1,3 @@
-"""Paths at which the platform calls this system."""
+"""The HTTP paths that the platform requests from pollenwalk."""
 
 READY_PATH = '/v1/ready'
--- a/pollenwalk/platform/objects.py
+++ b/pollenwalk/platform/objects.py
@@ -1,7 +1,7 @@
-"""The platform's object store, as the product's store protocol.
+"""A client of the platform's object store.
 
-A key is `KIND/NAME`; a prefix is `KIND/`. The body of a stored object is its
-`spec`, its version the `revision` of its last change.
+A key is `KIND/NAME` and a prefix is `KIND/`. The body of a `StoredObject` is the
+object's `spec`, and its version is the `revision` of the object's last change.
 """
 
 import socket
@@ -18,30 +18,32 @@
 from pollenwalk.process.store import ABSENT, WATCH_TIMEOUT_MS, Changes, StoredObject
 
 OBJECTS = '/v1/objects/'
-# Three round trips between regions and the slowest answer that still helps.
+# Covers three round trips between regions and the slowest answer that is still
+# useful.
 ANSWER_TIMEOUT_S = 2.0
 MS_PER_SECOND = 1000
+# Statuses below 500 by which the store says that it can't answer now.
 UNAVAILABLE = frozenset(
     (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.REQUEST_TIMEOUT),
 )
 
 
 class WireMetadata(TypedDict):
-    """The part of an object that the store fills in."""
+    """The metadata of an object; the store sets the revision."""
 
     name: str
     revision: int
 
 
 class WireObject(TypedDict):
-    """An object; an unreadable `spec` is left to its kind's decoder."""
+    """An object; its `spec` stays encoded for the decoder of its kind."""
 
     metadata: WireMetadata
     spec: NotRequired[msgspec.Raw]
 
 
 class WireList(TypedDict):
-    """A page of a list; `truncated` says that there are more."""
+    """One page of a list; if `truncated` is set, more pages follow."""
 
     items: list[msgspec.Raw]
     truncated: NotRequired[bool]
@@ -49,14 +51,14 @@
 
 
 class WireEvent(TypedDict):
-    """A change; a `tombstone` is the object as it was deleted."""
+    """A changed object; if `tombstone` is set, the object was deleted."""
 
     object: NotRequired[msgspec.Raw]
     tombstone: NotRequired[bool]
 
 
 class WireEvents(TypedDict):
-    """The answer to a watch."""
+    """The answer to a watch: the changes after the watched revision."""
 
     events: list[WireEvent]
     store_revision: int
@@ -68,17 +70,17 @@
 
 
 class StoreAnswer(TypedDict):
-    """What the store answered."""
+    """The HTTP status and the body of the store's answer."""
 
     status: int
     body: bytes
 
 
 class PlatformStore(HttpClient):
-    """A client of the store; implements `ObjectStore`."""
+    """A client of the platform's object store; implements `ObjectStore`."""
 
     def make_connector(self) -> aiohttp.TCPConnector:
-        """Make what opens connections that notice a silent store."""
+        """Make a connector whose connections detect a store that has gone silent."""
         return aiohttp.TCPConnector(limit=0, socket_factory=make_socket)
 
     async def request(
@@ -88,10 +90,17 @@
         document: Any = None,
         timeout_s: float = ANSWER_TIMEOUT_S,
     ) -> StoreAnswer:
-        """Make one call.
+        """Send a request to the store and read the whole answer.
+
+        Args:
+            method: the HTTP method.
+            path: the path below `OBJECTS`, with the query.
+            document: the body, which is sent as JSON; None for no body.
+            timeout_s: the longest time for the whole request.
 
         Raises:
-            StoreUnavailable: no answer, or one that says so.
+            StoreUnavailable: no answer came, or its status says that the
+                store is unavailable.
             StoreHistoryGone: the watched revision is too old.
         """
         body = None if document is None else msgspec.json.encode(document)
@@ -111,14 +120,14 @@
         return answer
 
     async def get(self, key: str) -> StoredObject | None:
-        """Read one object."""
+        """Read one object; None if it does not exist."""
         answer = await self.request('GET', quote(key))
         if answer['status'] == HTTPStatus.NOT_FOUND:
             return None
-        return read_object(key, answer['body'])
+        return decode_object(key, answer['body'])
 
     async def put(self, key: str, body: bytes, version: int | None) -> int:
-        """Write an object; see `ObjectStore.put`."""
+        """Write an object and return its new version; see `ObjectStore.put`."""
         if version == ABSENT:
             return await self.create(key, body)
         metadata: dict[str, Any] = {'name': key.partition('/')[2]}
@@ -130,26 +139,26 @@
             return await self.create(key, body)
         if answer['status'] != HTTPStatus.OK:
             raise StoreConflict(f'{key} has another version')
-        return read_object(key, answer['body']).version
+        return decode_object(key, answer['body']).version
 
     async def create(self, key: str, body: bytes) -> int:
-        """Write an object that must not be there.
+        """Create an object and return its version.
 
         Raises:
-            StoreConflict: it is there.
+            StoreConflict: the object exists already.
         """
         kind, _, name = key.partition('/')
         document = {'metadata': {'name': name}, 'spec': msgspec.Raw(body)}
         answer = await self.request('POST', quote(kind), document)
         if answer['status'] not in {HTTPStatus.OK, HTTPStatus.CREATED}:
-            raise StoreConflict(f'{key} is there already')
-        return read_object(key, answer['body']).version
+            raise StoreConflict(f'{key} exists already')
+        return decode_object(key, answer['body']).version
 
     async def report(self, key: str, status: dict[str, Any]) -> None:
-        """Write the status of an object that somebody else owns.
+        """Write the status of an object whose `spec` another process writes.
 
         Raises:
-            StoreConflict: the object is gone.
+            StoreConflict: the store refused it, as after the object's deletion.
         """
         document = {
             'metadata': {'name': key.partition('/')[2]},
@@ -157,23 +166,29 @@
         }
         answer = await self.request('PUT', f'{quote(key)}/status', document)
         if answer['status'] != HTTPStatus.OK:
-            raise StoreConflict(f'{key}: status {answer["status"]}')
+            raise StoreConflict(
+                f'{key}: writing its status was answered with {answer["status"]}'
+            )
 
     async def delete(self, key: str) -> None:
-        """Delete an object."""
+        """Delete an object; it is no error if it does not exist."""
         await self.request('DELETE', quote(key))
 
     async def scan(self, prefix: str) -> Changes:
-        """Read all objects of a kind; the revision is that of the first page."""
+        """Read all objects of a kind, page by page.
+
+        The revision is that of the first page, so that a watch from there
+        misses no change that was made while the other pages were read.
+        """
         kind = prefix.rstrip('/')
         found: list[StoredObject] = []
         revision = 0
         path = quote(kind)
         while path:
-            page: WireList = read_page(await self.request('GET', path))
-            found.extend(read_items(prefix, page['items']))
+            page: WireList = decode_page(await self.request('GET', path))
+            found.extend(decode_items(prefix, page['items']))
             revision = revision or page['store_revision']
-            path = next_page(kind, page, found)
+            path = next_page_path(kind, page, found)
         return Changes(revision, found)
 
     async def watch(
@@ -184,8 +199,17 @@
     ) -> Changes:
         """Wait for changes after a revision.
 
+        Args:
+            prefix: the prefix of the watched objects.
+            revision: the last revision that is known.
+            wait_ms: how long the store waits for a change.
+
+        Returns:
+            The changed objects, none if nothing changed in that time, and the
+            revision to watch from next.
+
         Raises:
-            StoreHistoryGone: the store has forgotten that revision.
+            StoreHistoryGone: the store no longer has the changes since then.
         """
         kind = quote(prefix.rstrip('/'))
         answer = await self.request(
@@ -197,12 +221,12 @@
             page: WireEvents = EVENTS_DECODER.decode(answer['body'])
         except msgspec.DecodeError as error:
             raise StoreUnavailable(f'watch of {kind}: {error}') from error
-        changed = [read_event(prefix, event) for event in page['events']]
-        return Changes(page['store_revision'], [one for one in changed if one])
+        changed = [decode_event(prefix, event) for event in page['events']]
+        return Changes(page['store_revision'], [stored for stored in changed if stored])
 
 
 def make_socket(address: tuple[Any, ...]) -> socket.socket:
-    """Make a socket that notices a silent peer."""
+    """Make a socket that detects a peer that has gone silent."""
     new_socket = socket.socket(family=address[0], type=address[1], proto=address[2])
     new_socket.setblocking(False)
     probe_peer(new_socket)
@@ -210,18 +234,23 @@
 
 
 def check_status(status: int, method: str, path: str) -> None:
-    """Raise for the answers that carry no object."""
+    """Check that the store has processed a request.
+
+    Raises:
+        StoreHistoryGone: the watched revision is too old.
+        StoreUnavailable: the store can't answer now.
+    """
     if status == HTTPStatus.GONE:
         raise StoreHistoryGone(f'{method} {path}')
     if status >= HTTPStatus.INTERNAL_SERVER_ERROR or status in UNAVAILABLE:
         raise StoreUnavailable(f'{method} {path}: status {status}')
 
 
-def read_object(key: str, body: bytes) -> StoredObject:
-    """Read one object that was asked for.
+def decode_object(key: str, body: bytes) -> StoredObject:
+    """Decode the answer to a request for one object.
 
     Raises:
-        StoreUnavailable: the answer is no object.
+        StoreUnavailable: the answer is not an object.
     """
     try:
         wire: WireObject = OBJECT_DECODER.decode(body)
@@ -231,31 +260,41 @@
 
 
 def to_stored_object(key: str, wire: WireObject) -> StoredObject:
-    """Convert an object; one without `spec` has the body `null`."""
+    """Convert a decoded object; one without `spec` gets the body `null`."""
     spec = wire.get('spec')
     body = b'null' if spec is None else bytes(spec)
     return StoredObject(key, body, wire['metadata']['revision'])
 
 
-def read_page(answer: StoreAnswer) -> WireList:
-    """Read a page of a list."""
+def decode_page(answer: StoreAnswer) -> WireList:
+    """Decode one page of a list.
+
+    Raises:
+        StoreUnavailable: the answer is not a page.
+    """
     try:
         return LIST_DECODER.decode(answer['body'])
     except msgspec.DecodeError as error:
         raise StoreUnavailable(f'list: {error}') from error
 
 
-def next_page(kind: str, page: WireList, found: list[StoredObject]) -> str:
-    """Give the path of the page that follows; empty after the last."""
+def next_page_path(kind: str, page: WireList, found: list[StoredObject]) -> str:
+    """Return the path of the next page; empty after the last page.
+
+    Args:
+        kind: the kind of the listed objects.
+        page: the page that was read last.
+        found: all objects that were read so far.
+    """
     if not page.get('truncated') or not found:
         return ''
     last = found[-1].key.partition('/')[2]
     return f'{quote(kind)}?after={quote(last)}'
 
 
-def read_items(prefix: str, items: list[msgspec.Raw]) -> list[StoredObject]:
-    """Read the objects of a page; one without a readable name is left out."""
-    wires = (read_metadata(raw) for raw in items)
+def decode_items(prefix: str, items: list[msgspec.Raw]) -> list[StoredObject]:
+    """Decode the objects of a page; those with unreadable metadata are left out."""
+    wires = (decode_metadata(raw) for raw in items)
     return [
         to_stored_object(f'{prefix}{wire["metadata"]["name"]}', wire)
         for wire in wires
@@ -263,18 +302,18 @@
     ]
 
 
-def read_metadata(raw: msgspec.Raw) -> WireObject | None:
-    """Read an object's frame; None where even that can't be read."""
+def decode_metadata(raw: msgspec.Raw) -> WireObject | None:
+    """Decode an object but not its `spec`; None if its metadata is unreadable."""
     try:
         return OBJECT_DECODER.decode(raw)
     except msgspec.DecodeError:
         return None
 
 
-def read_event(prefix: str, event: WireEvent) -> StoredObject | None:
-    """Read a change; a deleted object has no body."""
+def decode_event(prefix: str, event: WireEvent) -> StoredObject | None:
+    """Decode a change; None if it is unreadable. Deleted objects have no body."""
     raw = event.get('object')
-    wire = None if raw is None else read_metadata(raw)
+    wire = None if raw is None else decode_metadata(raw)
     if wire is None:
         return None
     stored = to_stored_object(f'{prefix}{wire["metadata"]["name"]}', wire)
--- a/test/platform/test_objects.py
+++ b/test/platform/test_objects.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store, against a stand-in."""
+"""Tests of the client of the platform's object store, against a stand-in."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -36,7 +36,7 @@
 
 
 class ObjectsTest(testtools.TestCase):
-    """Reading and writing."""
+    """Reading and writing objects."""
 
     @on_loop
     async def test_create_replace_read_delete(self) -> None:
@@ -51,7 +51,7 @@
             self.assertIsNone(await store.get('things/a'))
 
     @on_loop
-    async def test_conditions(self) -> None:
+    async def test_conditional_writes(self) -> None:
         async with running() as (_, store):
             version = await store.put('things/a', b'1', ABSENT)
             with testtools.ExpectedException(StoreConflict):
@@ -62,26 +62,26 @@
             await store.put('things/b', b'3', None)
 
     @on_loop
-    async def test_a_list_in_pages(self) -> None:
+    async def test_list_of_several_pages(self) -> None:
         async with running() as (_, store):
             for name in 'abcde':
                 await store.put(f'things/{name}', b'1', ABSENT)
             listing = await store.scan('things/')
             self.assertEqual(
                 [f'things/{name}' for name in 'abcde'],
-                [one.key for one in listing.objects],
+                [stored.key for stored in listing.objects],
             )
             self.assertEqual(5, listing.revision)
 
     @on_loop
-    async def test_status(self) -> None:
+    async def test_report_of_a_status(self) -> None:
         async with running() as (api, store):
             await store.report('retirements/k', {'state': 'running'})
             self.assertEqual({'state': 'running'}, api.statuses['retirements/k'])
 
 
 class WatchTest(testtools.TestCase):
-    """Watching."""
+    """Watching objects for changes."""
 
     @on_loop
     async def test_changes_and_deletions(self) -> None:
@@ -91,17 +91,17 @@
             await asyncio.sleep(0.05)
             await store.delete('things/a')
             changes = await watching
-            self.assertEqual([b''], [one.body for one in changes.objects])
+            self.assertEqual([b''], [stored.body for stored in changes.objects])
 
     @on_loop
-    async def test_nothing_in_time(self) -> None:
+    async def test_watch_without_changes(self) -> None:
         async with running() as (_, store):
             version = await store.put('things/a', b'1', ABSENT)
             changes = await store.watch('things/', version, SHORT_MS)
             self.assertEqual([], changes.objects)
 
     @on_loop
-    async def test_forgotten_history(self) -> None:
+    async def test_watch_of_a_revision_that_is_too_old(self) -> None:
         async with running() as (api, store):
             await store.put('things/a', b'1', ABSENT)
             api.trouble = Trouble(horizon=9)
@@ -109,11 +109,11 @@
                 await store.watch('things/', 1, SHORT_MS)
 
 
-class TroubleTest(testtools.TestCase):
-    """A store that gives no answer."""
+class UnavailableTest(testtools.TestCase):
+    """A store that gives no answer or says that it is unavailable."""
 
     @on_loop
-    async def test_turned_away(self) -> None:
+    async def test_refusals_and_silence(self) -> None:
         async with running() as (api, store):
             for refusal in (Refusal.BUSY, Refusal.MANY, Refusal.SILENT):
                 api.trouble = Trouble(refusal=refusal)
@@ -121,14 +121,14 @@
                     await store.get('things/a')
 
     @on_loop
-    async def test_nobody_listens(self) -> None:
+    async def test_nothing_listens_at_the_address(self) -> None:
         store = PlatformStore(f'http://127.0.0.1:{free_port()}')
         with testtools.ExpectedException(StoreUnavailable):
             await store.scan('things/')
         await store.close()
 
     @on_loop
-    async def test_a_write_is_done_though_its_answer_is_lost(self) -> None:
+    async def test_write_whose_answer_is_lost_takes_effect(self) -> None:
         async with running() as (api, store):
             api.trouble = Trouble(late_s=0.2)
             with testtools.ExpectedException(StoreUnavailable):
