--- a/test/platform/test_templates.py
+++ b/test/platform/test_templates.py
@@ -1,4 +1,4 @@
-"""The deploy file's templates, filled in as the platform would."""
+"""Tests of the deploy file's templates, filled in as the platform does it."""
 
 import tempfile
 import tomllib
@@ -33,9 +33,9 @@
 
 
 class TemplatesTest(testtools.TestCase):
-    """What a process would read at its start."""
+    """The settings that a process reads at its start."""
 
-    def test_every_role_has_settings_that_hold(self) -> None:
+    def test_settings_of_every_role_are_valid(self) -> None:
         deploy = tomllib.loads((DEPLOY / 'system.toml').read_text())
         for role, entry in deploy['roles'].items():
             template = (DEPLOY.parent / entry['template']).read_text()
@@ -47,56 +47,62 @@
             port = entry['metrics'].partition('/')[0]
             self.assertTrue(own['metrics'].endswith(f':{port}'))
 
-    def test_the_grace_period_may_be_a_fraction(self) -> None:
+    def test_grace_period_may_be_a_fraction(self) -> None:
         template = (DEPLOY / 'gateway.ini').read_text()
         text = fill_template(template, {**VALUES, 'bounds.grace_s': '8.5'})
         settings = parse_settings(text, 'gateway', 'gateway')
         self.assertEqual(8.5, settings.section('gateway')['grace_s'])
 
-    def test_bounds_of_the_platform_go_before_ours(self) -> None:
+    def test_bounds_of_the_platform_replace_the_defaults(self) -> None:
         template = (DEPLOY / 'gateway.ini').read_text()
         own = parse_settings(
             fill_template(template, VALUES), 'gateway', 'gateway'
         ).section('gateway')
         self.assertEqual((4000, 5000), (own['change_delay_ms'], own['leave_notice_ms']))
 
-    def test_bounds_that_the_platform_lacks_are_ours(self) -> None:
-        given = {name: text for name, text in VALUES.items() if 'ms' not in name}
+    def test_missing_bounds_have_the_defaults(self) -> None:
+        fields_without_bounds = {
+            name: text for name, text in VALUES.items() if 'ms' not in name
+        }
         template = (DEPLOY / 'gateway.ini').read_text()
-        text = fill_template(template, given)
+        text = fill_template(template, fields_without_bounds)
         own = parse_settings(text, 'gateway', 'gateway').section('gateway')
         self.assertEqual((3000, 3000), (own['change_delay_ms'], own['leave_notice_ms']))
 
 
 class CheckDeploymentTest(testtools.TestCase):
-    """The command that checks a deployment before it is made."""
+    """The command that checks a deploy file before the deployment."""
 
     def folder(self) -> Path:
-        """Make a folder for one test."""
-        made = tempfile.TemporaryDirectory()
-        self.addCleanup(made.cleanup)
-        return Path(made.name)
+        """Make a folder that is removed after the test."""
+        new_folder = tempfile.TemporaryDirectory()
+        self.addCleanup(new_folder.cleanup)
+        return Path(new_folder.name)
 
     def check(self, changes: dict[str, str]) -> int:
-        """Check our deploy file with a host's settings; give the exit code."""
+        """Check the project's deploy file with a host's fields.
+
+        Returns:
+            The command's exit code.
+        """
         path = self.folder() / 'host.conf'
         fields = {**VALUES, **changes}
         path.write_text(''.join(f'{key}={text}\n' for key, text in fields.items()))
         deploy = str(DEPLOY / 'system.toml')
         return main(['check-deployment', deploy, '--host-settings', str(path)])
 
-    def test_ours_holds_on_each_class_of_hosts(self) -> None:
+    def test_deploy_file_is_valid_on_each_host_class(self) -> None:
         self.assertEqual(0, self.check({}))
         self.assertEqual(0, self.check({'machine_class': 'storage'}))
 
-    def test_settings_that_would_not_start(self) -> None:
+    def test_invalid_settings(self) -> None:
         self.assertEqual(EXIT_USAGE, self.check({'listen.front': ''}))
         self.assertEqual(EXIT_USAGE, self.check({'zone': 'nowhere'}))
 
-    def test_a_class_without_a_role(self) -> None:
+    def test_host_class_without_a_role(self) -> None:
         self.assertEqual(EXIT_USAGE, self.check({'machine_class': 'sidecar'}))
 
-    def test_a_role_that_does_not_exist(self) -> None:
+    def test_unknown_or_incomplete_role(self) -> None:
         path = self.folder() / 'system.toml'
         path.write_text('[roles.router]\nrun = "x"\non = "front"\ntemplate = "t"\n')
         self.assertEqual(EXIT_USAGE, main(['check-deployment', str(path)]))
