--- /dev/null
+++ b/pollenwalk/process/prefix_watcher.py
@@ -0,0 +1,171 @@
+"""Watches the objects below a prefix of the store.
+
+A single watch is not reliable: it may stall and miss changes, or its connection
+may be cut unnoticed. Therefore each watch ends within the time in which its
+user needs to learn of a change. A watch that ends without changes does not
+advance the revision from which the next one starts, so that the next one is
+answered at once with any changes that were missed.
+"""
+
+from collections.abc import Awaitable, Callable
+from typing import NamedTuple
+
+from pollenwalk.errors import StoreHistoryGone, StoreUnavailable
+from pollenwalk.process.clock import Clock
+from pollenwalk.process.store import (
+    WATCH_TIMEOUT_MS,
+    Backoff,
+    Changes,
+    ObjectStore,
+    StoredObject,
+)
+
+
+class WatchHandlers(NamedTuple):
+    """The functions that a prefix watcher calls.
+
+    Attributes:
+        on_object: called with each new, changed or deleted object; must be
+            idempotent, as an object may be passed more than once. A deleted
+            object has an empty body, also if it was deleted while the store
+            could not be watched.
+        on_read: called after each answer of the store or of the relay.
+        on_unavailable: called each time the store did not answer.
+        relay: lists the prefix through another process while the store does
+            not answer this one; it returns None if that fails, too.
+    """
+
+    on_object: Callable[[StoredObject], None]
+    on_read: Callable[[], None] | None = None
+    on_unavailable: Callable[[StoreUnavailable], None] | None = None
+    relay: Callable[[str], Awaitable[Changes | None]] | None = None
+
+
+class PrefixWatcher:
+    """Reads all objects below a prefix, then watches their changes.
+
+    Attributes:
+        next_revision: revision from which the next watch starts; None if all
+            objects have to be listed.
+        answered_revision: latest revision of the store in any answer. Listings
+            of a relay that are older than this are ignored.
+        known_keys: keys of the objects that exist, to find deleted ones.
+    """
+
+    def __init__(
+        self,
+        store: ObjectStore,
+        clock: Clock,
+        prefix: str,
+        handlers: WatchHandlers,
+        wait_ms: float = WATCH_TIMEOUT_MS,
+    ) -> None:
+        """Create a watcher that has not read anything.
+
+        Args:
+            store: the platform's store.
+            clock: paces the retries while the store does not answer.
+            prefix: prefix of the keys to watch.
+            handlers: the functions to call.
+            wait_ms: longest duration of a watch, and thus the longest time
+                until a change is noticed while the store answers.
+        """
+        self.store = store
+        self.clock = clock
+        self.prefix = prefix
+        self.handlers = handlers
+        self.wait_ms = int(wait_ms)
+        self.next_revision: int | None = None
+        self.answered_revision = 0
+        self.known_keys: set[str] = set()
+
+    async def run(self) -> None:
+        """Watch until cancelled."""
+        backoff = Backoff(self.clock)
+        while True:
+            try:
+                changed = await self.read()
+            except StoreUnavailable as error:
+                if self.handlers.on_unavailable is not None:
+                    self.handlers.on_unavailable(error)
+                await self.read_via_relay()
+                await backoff.pause()
+                continue
+            backoff = Backoff(self.clock)
+            self.notify(changed)
+
+    def notify(self, changed: list[StoredObject]) -> None:
+        """Call the handlers for the objects that were read."""
+        for stored in changed:
+            self.handlers.on_object(stored)
+        if self.handlers.on_read is not None:
+            self.handlers.on_read()
+
+    async def read_via_relay(self) -> None:
+        """List the prefix through the relay, if there is one."""
+        if self.handlers.relay is None:
+            return
+        listing = await self.handlers.relay(self.prefix)
+        if listing is not None and listing.revision >= self.answered_revision:
+            self.notify(self.apply_listing(listing))
+
+    async def read(self) -> list[StoredObject]:
+        """List all objects at first; after that, wait for changes.
+
+        Returns:
+            The new, changed and deleted objects; empty if the watch ended
+            without changes.
+
+        Raises:
+            StoreUnavailable: the store did not answer.
+        """
+        if self.next_revision is None:
+            return self.apply_listing(await self.store.scan(self.prefix))
+        try:
+            changes = await self.store.watch(
+                self.prefix,
+                self.next_revision,
+                self.wait_ms,
+            )
+        except StoreHistoryGone:
+            self.next_revision = None
+            return await self.read()
+        self.answered_revision = max(self.answered_revision, changes.revision)
+        if changes.objects:
+            self.next_revision = max(self.next_revision, changes.revision)
+        for stored in changes.objects:
+            self.track_key(stored)
+        return changes.objects
+
+    def apply_listing(self, listing: Changes) -> list[StoredObject]:
+        """Record a listing, and return its objects and the deleted ones.
+
+        An object counts as deleted if it was known and is not listed.
+        """
+        self.next_revision = listing.revision
+        self.answered_revision = max(self.answered_revision, listing.revision)
+        listed = {stored.key for stored in listing.objects}
+        gone = [
+            StoredObject(key, b'', listing.revision)
+            for key in sorted(self.known_keys - listed)
+        ]
+        self.known_keys = listed
+        return [*listing.objects, *gone]
+
+    def track_key(self, stored: StoredObject) -> None:
+        """Add the key of an existing object, or remove that of a deleted one."""
+        if stored.body:
+            self.known_keys.add(stored.key)
+        else:
+            self.known_keys.discard(stored.key)
+
+
+async def watch_prefix(
+    store: ObjectStore,
+    clock: Clock,
+    prefix: str,
+    on_object: Callable[[StoredObject], None],
+    on_read: Callable[[], None] | None = None,
+) -> None:
+    """Watch a prefix until cancelled, with the longest watches and no relay."""
+    await PrefixWatcher(store, clock, prefix, WatchHandlers(on_object, on_read)).run()
