--- a/pollenwalk/platform/headers.py
+++ b/pollenwalk/platform/headers.py
@@ -95,7 +95,12 @@
 
 
 def read_int(text: str | None) -> int | None:
-    """Return a number without its fraction; None if it is absent or malformed."""
+    """Return a number without its fraction; None if it is absent or malformed.
+
+    Raises:
+        OverflowError: the number is infinite.
+        ValueError: the value is `nan`.
+    """
     number = read_float(text)
     return None if number is None else int(number)
 
--- a/pollenwalk/program/turn_index.py
+++ b/pollenwalk/program/turn_index.py
@@ -40,13 +40,13 @@
         Returns:
             Whether the record was not in the index yet.
         """
-        new = record.turn not in self.records
-        if new:
+        is_new = record.turn not in self.records
+        if is_new:
             self.records[record.turn] = record
             self.size_bytes += record.size_bytes
         self.use_chain(record.turn)
         self.evict()
-        return new
+        return is_new
 
     def use_chain(self, turn: str) -> Chain:
         """Return a turn and its predecessors, and mark them as just used."""
--- a/pollenwalk/program/turns.py
+++ b/pollenwalk/program/turns.py
@@ -1,6 +1,6 @@
 """Messages and records of keepers: programs' turns and token accounts.
 
-Turns form a tree, as several turns may continue the same one. A turn record
+Turns form trees, as several turns may continue the same one. A turn record
 never changes once it is written, so every copy of it is current.
 """
 
--- a/pollenwalk/version/routes.py
+++ b/pollenwalk/version/routes.py
@@ -30,7 +30,7 @@
     Attributes:
         name: of the route.
         host: the host name that callers use, in lower case.
-        path_prefix: beginning of the paths, from slash to slash.
+        path_prefix: beginning of the paths; it begins and ends with a slash.
         kind: how calls are answered and whether they may be repeated.
         timeout_ms: the longest time that a caller waits.
         target_ms: latency target; an answer within it has its full value.
--- a/test/program/test_ledger.py
+++ b/test/program/test_ledger.py
@@ -26,10 +26,10 @@
         ledger = Ledger(make_clock())
         ledger.reserve(ReserveTokens('p', 't1', MAX_TOKENS, 0))
         known = ledger.reserve(ReserveTokens('p', 't2', MAX_TOKENS, 0))
-        self.assertEqual([MAX_TOKENS, MAX_TOKENS], [one.tokens for one in known])
+        self.assertEqual([MAX_TOKENS, MAX_TOKENS], [entry.tokens for entry in known])
         ledger.settle(SettleTokens('p', 't1', 4, 0))
         known = ledger.reserve(ReserveTokens('p', 't2', MAX_TOKENS, 0))
-        self.assertEqual([4, MAX_TOKENS], [one.tokens for one in known])
+        self.assertEqual([4, MAX_TOKENS], [entry.tokens for entry in known])
 
     @virtual
     async def test_late_reservation_keeps_the_settlement(self) -> None:
@@ -123,9 +123,11 @@
             self.turn('d', 'c'),
         ):
             index.put(turn)
-        self.assertEqual(['a', 'b'], [one.turn for one in index.use_chain('b').turns])
+        self.assertEqual(
+            ['a', 'b'], [record.turn for record in index.use_chain('b').turns]
+        )
         chain = index.use_chain('d')
-        self.assertEqual(['a', 'c', 'd'], [one.turn for one in chain.turns])
+        self.assertEqual(['a', 'c', 'd'], [record.turn for record in chain.turns])
         self.assertEqual(b'aa!\ncc!\ndd!\nnew', build_prompt(chain.turns, b'new'))
 
     @virtual
@@ -145,7 +147,7 @@
         await clock.sleep_ms(25_000)
         index.put(self.turn('b', 'a'))
         await clock.sleep_ms(25_000)
-        self.assertEqual(['x'], [one.turn for one in index.expire()])
+        self.assertEqual(['x'], [record.turn for record in index.expire()])
         self.assertEqual('', index.use_chain('b').missing)
 
     @virtual
