--- a/pollenwalk/request/routing.py
+++ b/pollenwalk/request/routing.py
@@ -267,10 +267,14 @@
     ) -> AsyncIterator[Tokens | Answer]:
         """Run a call at the present owner until one answers.
 
+        As `give_up_at_ms` is put off at each error, the retries are ended only by
+        an owner that answers or by the caller.
+
         Args:
             request: the call.
             deadline_ms: when the caller stops waiting, on the process's clock.
-            give_up_at_ms: when to stop waiting for an owner, on the same clock.
+            give_up_at_ms: earliest time to stop waiting for an owner, on the same
+                clock.
         """
         while True:
             remaining_ms = deadline_ms - self.clock.now_ms()
