--- a/pollenwalk/connection/peer.py
+++ b/pollenwalk/connection/peer.py
@@ -43,7 +43,7 @@
 END = object()
 
 
-def is_last(item: Any) -> bool:
+def ends_exchange(item: Any) -> bool:
     """Tell whether an exchange ends with this."""
     return item is END or isinstance(item, Exception)
 
@@ -71,14 +71,14 @@
         """Write until the channel ends."""
         while True:
             await self.waiting.wait()
-            await self.gather_company()
+            await self.wait_for_batch()
             batch = self.queue
             self.queue = []
             self.waiting.clear()
             self.urgent.clear()
             await self.channel.send(encode_frames(batch))
 
-    async def gather_company(self) -> None:
+    async def wait_for_batch(self) -> None:
         """Wait for more tokens unless something urgent is queued."""
         if self.urgent.is_set() or not self.window_ms:
             return
@@ -89,7 +89,7 @@
             return
 
 
-class Exchanges:
+class PendingRequests:
     """The open questions of one connection."""
 
     def __init__(self) -> None:
@@ -130,15 +130,15 @@
         self.channel = channel
         self.tasks = tasks
         self.writer = FrameWriter(channel, clock, 0)
-        self.exchanges = Exchanges()
+        self.exchanges = PendingRequests()
         self.lost = False
         self.boot_id = ''
 
-    async def greet(self, hello: Hello) -> None:
+    async def handshake(self, hello: Hello) -> None:
         """Say who we are and learn the peer's boot id."""
         self.tasks.spawn(self.write(), 'connection_write')
         self.tasks.spawn(self.read(), 'connection_read')
-        welcome = await self.ask(hello)
+        welcome = await self.request(hello)
         self.boot_id = welcome.boot_id
 
     async def write(self) -> None:
@@ -182,17 +182,17 @@
         try:
             while True:
                 item = await queue.get()
-                if is_last(item):
+                if ends_exchange(item):
                     break
                 yield item
         finally:
             self.exchanges.queues.pop(number, None)
-            if not is_last(item) and not self.lost:
+            if not ends_exchange(item) and not self.lost:
                 self.writer.put(Frame(number, CANCEL_KIND, None))
         if item is not END:
             raise item
 
-    async def ask(self, message: Any) -> Any:
+    async def request(self, message: Any) -> Any:
         """Ask a question that has one answer."""
         answers = [answer async for answer in self.stream(message)]
         if not answers:
@@ -222,7 +222,7 @@
         self.connection: Connection | None = None
         # Set where every question is answered soon, so that silence means
         # that the connection is dead.
-        self.drops_when_silent = False
+        self.close_on_timeout = False
 
     def identify(self, incarnation: str, zone: str) -> 'Peer':
         """Set who this side is, for the greeting."""
@@ -230,7 +230,7 @@
         self.zone = zone
         return self
 
-    async def connected(self) -> Connection:
+    async def ensure_connected(self) -> Connection:
         """Give the open connection, opening one when there is none.
 
         Raises:
@@ -256,12 +256,12 @@
             async with self.clock.timeout_ms(CONNECT_TIMEOUT_MS):
                 channel = await self.network.connect(self.address)
                 connection = Connection(channel, self.clock, self.tasks)
-                await connection.greet(hello)
+                await connection.handshake(hello)
         except TimeoutError as error:
             raise ConnectionLost(f'{self.address} does not answer') from error
         return connection
 
-    async def ask(self, message: Any, timeout_ms: float) -> Any:
+    async def request(self, message: Any, timeout_ms: float) -> Any:
         """Ask a question that has one answer, within a time.
 
         Raises:
@@ -270,21 +270,21 @@
         """
         try:
             async with self.clock.timeout_ms(timeout_ms):
-                connection = await self.connected()
-                return await connection.ask(message)
+                connection = await self.ensure_connected()
+                return await connection.request(message)
         except TimeoutError as error:
-            self.drop_silent()
+            self.drop_unresponsive()
             raise ConnectionLost(f'{self.address} is silent') from error
 
-    def drop_silent(self) -> None:
+    def drop_unresponsive(self) -> None:
         """Give up a connection on which no answer came."""
-        if self.drops_when_silent and self.connection is not None:
+        if self.close_on_timeout and self.connection is not None:
             self.tasks.spawn(self.connection.close(), 'drop_silent')
             self.connection = None
 
     async def stream(self, message: Any) -> AsyncIterator[Any]:
         """Ask a question and give its answers as they come."""
-        connection = await self.connected()
+        connection = await self.ensure_connected()
         answers = connection.stream(message)
         try:
             async for answer in answers:
@@ -298,7 +298,7 @@
             await self.connection.close()
 
 
-class Questions:
+class RequestTasks:
     """The tasks that answer the open questions of one channel."""
 
     def __init__(self, tasks: TaskSet) -> None:
@@ -366,7 +366,7 @@
     ) -> None:
         """Start a task for each question, stop it when it is cancelled."""
         hello: Hello | None = None
-        questions = Questions(tasks)
+        questions = RequestTasks(tasks)
         while True:
             for frame in decode_frames(await channel.receive()):
                 if hello is None:
--- a/pollenwalk/process/entry_service.py
+++ b/pollenwalk/process/entry_service.py
@@ -146,7 +146,7 @@
         """
         message = HandOver(self.entry.incarnation)
         try:
-            await self.entry.peers.at(successor.address).ask(
+            await self.entry.peers.at(successor.address).request(
                 message,
                 HANDOVER_TIMEOUT_MS,
             )
--- a/pollenwalk/process/host_list.py
+++ b/pollenwalk/process/host_list.py
@@ -14,7 +14,7 @@
 class HostList(Protocol):
     """The platform's list of live and leaving hosts, which may be out of date."""
 
-    async def leaving(self) -> list[str]:
+    async def fetch_leaving(self) -> list[str]:
         """Return the IP addresses of leaving hosts.
 
         Raises:
@@ -26,7 +26,7 @@
     """Poll the list until cancelled, so that leaving hosts get no new calls."""
     while True:
         try:
-            fleet.update_leaving_addresses(await hosts.leaving())
+            fleet.update_leaving_addresses(await hosts.fetch_leaving())
         except ConnectionLost as error:
             logger.debug('host_list_silent', reason=error.message)
         await clock.sleep_ms(POLL_INTERVAL_MS)
--- a/pollenwalk/process/maintenance.py
+++ b/pollenwalk/process/maintenance.py
@@ -56,7 +56,7 @@
     async def release_at(self, address: str, program_id: str) -> bool:
         """Ask one sidecar to free memory, and return whether it confirmed."""
         try:
-            await self.context.peers(address).ask(
+            await self.context.peers(address).request(
                 Release([program_id]),
                 RELEASE_TIMEOUT_MS,
             )
@@ -84,7 +84,9 @@
     async def renew_at(self, address: str, programs: list[str]) -> None:
         """Renew leases at one sidecar; the next round makes up for a lost one."""
         try:
-            await self.context.peers(address).ask(Renew(programs), RENEW_INTERVAL_MS)
+            await self.context.peers(address).request(
+                Renew(programs), RENEW_INTERVAL_MS
+            )
         except (ConnectionLost, Refusal):
             logger.debug('renew_lost', address=address)
 
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -126,7 +126,7 @@
             Refusal: the sidecar refused the call, or the call failed there.
         """
         if connection is None:
-            connection = await self.context.peers(host.address).connected()
+            connection = await self.context.peers(host.address).ensure_connected()
         with self.context.tracer.span('dispatch', self.request.trace) as trace:
             message = self.build_dispatch(host, connection.boot_id, max_tokens, trace)
             self.call.running = True
@@ -135,11 +135,11 @@
                 answer = await dispatch(connection, self.live, self.call, message)
             finally:
                 self.context.fleet.remove_call(host.sidecar, self.call.id)
-        self.context.fleet.update_load(host.sidecar, answer.ahead)
+        self.context.fleet.update_load(host.sidecar, answer.remaining_calls)
         self.context.retries.budget_of(
             self.program.caller, self.request.upstream
         ).earn()
-        return answer._replace(ahead=0)
+        return answer._replace(remaining_calls=0)
 
     def build_dispatch(
         self,
--- a/pollenwalk/request/dispatch.py
+++ b/pollenwalk/request/dispatch.py
@@ -140,7 +140,7 @@
             ConnectionLost: the sidecar did not answer.
             Refusal: the call failed, or the sidecar has restarted.
         """
-        connection = await self.peer.connected()
+        connection = await self.peer.ensure_connected()
         if connection.boot_id != self.boot_id:
             raise Refusal(
                 RefusalCode.OUTCOME_UNKNOWN,
@@ -148,7 +148,7 @@
                 Outcome.UNKNOWN,
             )
         question = Resolve(call.id, self.boot_id, fence)
-        resolution = await self.peer.ask(question, RESOLVE_TIMEOUT_MS)
+        resolution = await self.peer.request(question, RESOLVE_TIMEOUT_MS)
         if resolution.state == NOT_RUN_STATE:
             return None
         return await follow(connection, call, self.boot_id)
