--- a/pollenwalk/connection/__init__.py
+++ b/pollenwalk/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as one connection to a peer, a caller or an upstream."""
+"""Connections to peers, callers and upstreams, and the messages sent over them."""
--- a/pollenwalk/connection/channel.py
+++ b/pollenwalk/connection/channel.py
@@ -1,30 +1,30 @@
-"""How processes reach each other, behind types that tests can replace."""
+"""Interfaces of the network between processes, which tests can replace."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
 
 
 class Channel(Protocol):
-    """An ordered stream of frames between two processes.
+    """An ordered, bidirectional stream of frames between two processes.
 
-    Every method raises `ConnectionLost` once the channel has ended.
+    `send` and `receive` raise `ConnectionLost` once the channel has ended.
     """
 
     async def send(self, frame: bytes) -> None:
-        """Hand one frame to the other side."""
+        """Send one frame to the other side."""
 
     async def receive(self) -> bytes:
-        """Wait for the next frame."""
+        """Wait for the next frame and return it."""
 
     async def close(self) -> None:
-        """End the channel for both sides."""
+        """Close the channel for both sides."""
 
 
 class Listener(Protocol):
-    """A listening address."""
+    """An address on which this process accepts channels or datagrams."""
 
     async def close(self) -> None:
-        """Stop listening and end the accepted channels."""
+        """Stop listening; over gRPC this also ends the accepted channels."""
 
 
 ChannelHandler = Callable[[Channel], Awaitable[None]]
@@ -32,20 +32,34 @@
 
 
 class StreamNetwork(Protocol):
-    """Channels between processes."""
+    """A network that carries channels between processes."""
 
     async def connect(self, address: str) -> Channel:
-        """Open a channel to `ip:port`; raises `ConnectionLost`."""
+        """Open a channel to `ip:port`.
+
+        Over gRPC this returns before the connection is made, and the first `send`
+        raises `ConnectionLost` if nothing listens there.
+
+        Raises:
+            ConnectionLost: the address can't be reached.
+        """
 
     async def listen(self, address: str, handler: ChannelHandler) -> Listener:
-        """Accept channels on `ip:port`."""
+        """Accept channels on `ip:port` and run `handler` for each of them.
+
+        Raises:
+            OSError: the address can't be bound.
+        """
 
 
 class Network(StreamNetwork, Protocol):
-    """Channels for requests and datagrams for control."""
+    """A network with channels for requests, and datagrams for reports and heartbeats."""
 
     async def bind(self, address: str, handler: DatagramHandler) -> Listener:
-        """Receive datagrams on `ip:port`."""
+        """Receive datagrams on `ip:port` and call `handler` for each of them.
+
+        The handler gets the payload and the sender's `ip:port`.
+        """
 
     def send_datagram(self, source: str, target: str, payload: bytes) -> None:
-        """Send a datagram that may get lost."""
+        """Send a datagram from the bound address `source`; it may get lost."""
--- a/pollenwalk/connection/connection_pool.py
+++ b/pollenwalk/connection/connection_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to upstream hosts."""
+"""Pool of idle connections to upstream hosts."""
 
 from pollenwalk.connection.hosts import UpstreamHost
 from pollenwalk.connection.upstream_connection import (
@@ -7,58 +7,68 @@
 )
 from pollenwalk.process.clock import Clock
 
-# Two round trips between regions, a lost packet sent again, and some.
+# Covers two round trips between regions and one retransmission, with a margin.
 CONNECT_TIMEOUT_S = 0.5
-# A host may close an idle connection just as a request goes out; links are
-# given up so long before the time that the host names.
+# A host may close an idle connection just as a request is sent on it. A
+# connection is therefore discarded this long before the keep-alive timeout that
+# the host announces.
 CLOSE_MARGIN_MS = 1000.0
-# Used where a host names no time.
-UNSTATED_KEEP_MS = 4000.0
+# Keep-alive time for hosts that announce no timeout.
+DEFAULT_KEEP_ALIVE_MS = 4000.0
 
 
 class ConnectionPool:
-    """The idle connections of one gateway, by host."""
+    """Holds the idle connections of a gateway.
+
+    Attributes:
+        idle: idle connections by host id, the most recently used last.
+    """
 
     def __init__(self, clock: Clock) -> None:
-        """Start with none."""
+        """Create an empty pool."""
         self.clock = clock
         self.idle: dict[str, list[UpstreamConnection]] = {}
 
     async def acquire(self, host: UpstreamHost) -> UpstreamConnection:
-        """Give an idle connection, or a new one.
+        """Return an idle connection to a host, or open a new one.
 
         Raises:
             NotSent: the host can't be reached.
         """
-        links = self.idle.get(host.id, [])
+        connections = self.idle.get(host.id, [])
         now_ms = self.clock.now_ms()
-        while links:
-            link = links.pop()
-            if link.reusable and now_ms < link.idle_since_ms + keep_alive_ms(link):
-                return link
-            link.abort()
+        while connections:
+            connection = connections.pop()
+            if connection.reusable and now_ms < connection.idle_since_ms + max_idle_ms(
+                connection
+            ):
+                return connection
+            connection.abort()
         return await open_upstream_connection(host.address, CONNECT_TIMEOUT_S)
 
-    def release(self, host: UpstreamHost, link: UpstreamConnection) -> None:
-        """Keep a connection whose answer was read whole, if it can be."""
-        if not link.finish_exchange():
+    def release(self, host: UpstreamHost, connection: UpstreamConnection) -> None:
+        """Return a connection to the pool after its answer was read to the end.
+
+        The connection is closed instead if it can't carry another request.
+        """
+        if not connection.finish_exchange():
             return
-        link.idle_since_ms = self.clock.now_ms()
-        self.idle.setdefault(host.id, []).append(link)
+        connection.idle_since_ms = self.clock.now_ms()
+        self.idle.setdefault(host.id, []).append(connection)
 
     def close_all_except(self, hosts: set[str]) -> None:
-        """Close the connections to all hosts but these."""
-        for name in self.idle.keys() - hosts:
-            for link in self.idle.pop(name):
-                link.abort()
+        """Close the idle connections to all hosts except those with these ids."""
+        for host_id in self.idle.keys() - hosts:
+            for connection in self.idle.pop(host_id):
+                connection.abort()
 
     def close(self) -> None:
         """Close all idle connections."""
         self.close_all_except(set())
 
 
-def keep_alive_ms(link: UpstreamConnection) -> float:
-    """Give how long a link may be idle and still be used."""
-    if link.keep_alive_ms is None:
-        return UNSTATED_KEEP_MS
-    return max(link.keep_alive_ms - CLOSE_MARGIN_MS, 0)
+def max_idle_ms(connection: UpstreamConnection) -> float:
+    """Return for how long a connection may be idle and still be reused."""
+    if connection.keep_alive_ms is None:
+        return DEFAULT_KEEP_ALIVE_MS
+    return max(connection.keep_alive_ms - CLOSE_MARGIN_MS, 0)
--- a/pollenwalk/connection/grpc_network.py
+++ b/pollenwalk/connection/grpc_network.py
@@ -1,6 +1,7 @@
-"""Channels over grpc streams and datagrams over UDP.
+"""Channels over gRPC streams and datagrams over UDP.
 
-The frames carry their own codec, so the service needs no generated code.
+Frames are opaque bytes to gRPC, as the codec is in the module `wire`. So the
+gRPC service needs no generated code.
 """
 
 import asyncio
@@ -33,7 +34,7 @@
     ('grpc.keepalive_timeout_ms', KEEPALIVE_MS),
     ('grpc.keepalive_permit_without_calls', 1),
     ('grpc.http2.max_pings_without_data', 0),
-    # The other side is one of ours: its pings are never too many.
+    # Pings are not limited, as the other side is also a pollenwalk process.
     ('grpc.http2.max_ping_strikes', 0),
     ('grpc.http2.min_recv_ping_interval_without_data_ms', KEEPALIVE_MS // 2),
 )
@@ -41,24 +42,32 @@
 
 
 class ClientChannel:
-    """The connecting side of a grpc stream."""
+    """The connecting side of a gRPC stream; implements `Channel`."""
 
     def __init__(self, channel: grpc.aio.Channel) -> None:
-        """Open the one stream that the channel carries."""
+        """Open the only stream of a gRPC channel."""
         self.channel = channel
         self.call = channel.stream_stream(f'/{SERVICE}/{METHOD}')(
             wait_for_ready=False,
         )
 
     async def send(self, frame: bytes) -> None:
-        """Write one message."""
+        """Send one frame as a message of the stream.
+
+        Raises:
+            ConnectionLost: the stream has ended.
+        """
         try:
             await self.call.write(frame)
         except (grpc.RpcError, asyncio.InvalidStateError) as error:
             raise ConnectionLost('the stream has ended') from error
 
     async def receive(self) -> bytes:
-        """Read one message."""
+        """Wait for the next frame and return it.
+
+        Raises:
+            ConnectionLost: the stream has ended.
+        """
         try:
             frame = await self.call.read()
         except (grpc.RpcError, asyncio.InvalidStateError) as error:
@@ -68,91 +77,111 @@
         return frame
 
     async def close(self) -> None:
-        """End the stream and its channel."""
+        """Cancel the stream and close its gRPC channel."""
         self.call.cancel()
         await self.channel.close()
 
 
 class ServerChannel:
-    """The listening side of a grpc stream."""
+    """The listening side of a gRPC stream; implements `Channel`.
+
+    Attributes:
+        closed: set by `close`; the service method then returns.
+    """
 
     def __init__(
         self,
         requests: AsyncIterator[bytes],
         context: grpc.aio.ServicerContext,
     ) -> None:
-        """Wrap what grpc hands to a service method."""
+        """Wrap the arguments of a gRPC service method."""
         self.requests = requests
         self.context = context
         self.closed = asyncio.Event()
 
     async def send(self, frame: bytes) -> None:
-        """Write one message."""
+        """Send one frame as a message of the stream.
+
+        Raises:
+            ConnectionLost: the stream has ended.
+        """
         try:
             await self.context.write(frame)
         except (grpc.RpcError, asyncio.InvalidStateError) as error:
             raise ConnectionLost('the stream has ended') from error
 
     async def receive(self) -> bytes:
-        """Read one message."""
+        """Wait for the next frame and return it.
+
+        Raises:
+            ConnectionLost: the stream has ended.
+        """
         try:
             return await anext(self.requests)
         except (StopAsyncIteration, grpc.RpcError) as error:
             raise ConnectionLost('the peer closed the stream') from error
 
     async def close(self) -> None:
-        """Let the service method return, which ends the stream."""
+        """Make the service method return, which ends the stream."""
         self.closed.set()
 
 
 class GrpcListener:
-    """A grpc server on one address."""
+    """A gRPC server on one address; implements `Listener`."""
 
     def __init__(self, server: grpc.aio.Server) -> None:
-        """Keep the server to stop it."""
+        """Wrap a running server."""
         self.server = server
 
     async def close(self) -> None:
-        """Stop listening; open streams get a moment to end."""
+        """Stop listening; streams still open after STOP_GRACE_S are aborted."""
         await self.server.stop(STOP_GRACE_S)
 
 
 class DatagramListener(asyncio.DatagramProtocol):
-    """A bound UDP address."""
+    """A bound UDP address; implements `Listener`."""
 
     def __init__(self, handler: DatagramHandler) -> None:
-        """Hand each datagram to `handler`."""
+        """Create a protocol that passes each datagram to `handler`."""
         self.handler = handler
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: Any) -> None:
-        """Keep the transport for sending."""
+        """Store the transport, which is also used for sending."""
         self.transport = transport
 
     def datagram_received(self, payload: bytes, sender: Any) -> None:
-        """Pass a datagram on."""
+        """Call the handler with the payload and the sender's `ip:port`."""
         self.handler(payload, f'{sender[0]}:{sender[1]}')
 
     async def close(self) -> None:
-        """Stop receiving."""
+        """Close the socket."""
         if self.transport is not None:
             self.transport.close()
 
 
 class GrpcNetwork:
-    """The network of the real daemons."""
+    """The network of the daemons; implements `Network`.
+
+    Attributes:
+        bound: datagram listeners by their own `ip:port`.
+    """
 
     def __init__(self) -> None:
-        """Start with nothing bound."""
+        """Create a network without bound addresses."""
         self.bound: dict[str, DatagramListener] = {}
 
     async def connect(self, address: str) -> Channel:
-        """Open a stream; the first write tells whether anybody listens."""
+        """Return a channel to `ip:port` without waiting for the connection.
+
+        If nothing listens there, the first `send` of the channel raises
+        `ConnectionLost`.
+        """
         channel = grpc.aio.insecure_channel(address, options=CHANNEL_OPTIONS)
         return ClientChannel(channel)
 
     async def listen(self, address: str, handler: ChannelHandler) -> Listener:
-        """Serve streams on an address.
+        """Accept channels on `ip:port` and run `handler` for each of them.
 
         Raises:
             OSError: the address can't be bound.
@@ -189,7 +218,11 @@
         return GrpcListener(server)
 
     async def bind(self, address: str, handler: DatagramHandler) -> Listener:
-        """Receive datagrams on an address."""
+        """Receive datagrams on `ip:port` and call `handler` for each of them.
+
+        Raises:
+            OSError: the address can't be bound.
+        """
         loop = asyncio.get_running_loop()
         _, listener = await loop.create_datagram_endpoint(
             lambda: DatagramListener(handler),
@@ -199,7 +232,10 @@
         return listener
 
     def send_datagram(self, source: str, target: str, payload: bytes) -> None:
-        """Send from a bound address; an unbound one sends nothing."""
+        """Send a datagram from a bound address.
+
+        Nothing is sent if `source` is not bound or is already closed.
+        """
         listener = self.bound.get(source)
         if listener is None or listener.transport is None:
             return
--- a/pollenwalk/connection/hosts.py
+++ b/pollenwalk/connection/hosts.py
@@ -1,20 +1,20 @@
-"""What is known of one upstream host."""
+"""The registration of an upstream host."""
 
 from typing import NamedTuple
 
 
 class UpstreamHost(NamedTuple):
-    """One start of an upstream host, as it registered itself.
+    """An upstream host as it registered itself after a start.
 
     Attributes:
-        id: names this start in every call that is sent to it.
-        upstream: the declared upstream that it serves.
-        address: `ip:port`; addresses are used again by other hosts.
-        zone: its availability zone.
-        slots: calls that it runs at a time.
-        leaving: whether it takes no new calls.
-        warm_up_ms: how much longer it is slow after its start.
-        born_ms: Unix time of its start; 0 where it doesn't say.
+        id: id of this start of the host; calls sent to the host carry it.
+        upstream: name of the declared upstream that the host serves.
+        address: `ip:port`; other hosts may reuse it later.
+        zone: availability zone of the host.
+        slots: number of calls that the host runs concurrently.
+        leaving: whether the host accepts no new calls.
+        warm_up_ms: time for which the host will still be slow after its start.
+        started_ms: Unix time of the start; 0 if the host does not state it.
     """
 
     id: str
--- a/pollenwalk/connection/hosts_http.py
+++ b/pollenwalk/connection/hosts_http.py
@@ -1,9 +1,9 @@
-"""The platform's list of hosts over HTTP.
+"""Client of the platform's list of hosts over HTTP.
 
     GET /hosts   {"ADDRESS": "live" | "leaving", …}
 
-The list lags, so it is a hint: a host that it calls leaving gets no new work,
-and nothing is concluded from one that it lacks.
+The list lags behind the hosts' state, so it is only a hint: a host listed as
+leaving gets no new calls, but nothing is concluded from a missing host.
 """
 
 import aiohttp
@@ -18,13 +18,14 @@
 
 
 class HttpHosts(HttpClient):
-    """A client of the host list."""
+    """A client of the host list; implements `HostList`."""
 
     async def fetch_leaving(self) -> list[str]:
-        """Give the IP addresses of leaving hosts.
+        """Fetch the IP addresses of the hosts that are leaving.
 
         Raises:
-            ConnectionLost: no answer, or one that makes no sense.
+            ConnectionLost: the request failed, took longer than
+                ANSWER_TIMEOUT_S, or returned an invalid list.
         """
         timeout = aiohttp.ClientTimeout(total=ANSWER_TIMEOUT_S)
         try:
@@ -33,13 +34,17 @@
                 timeout=timeout,
                 raise_for_status=True,
             ) as response:
-                return leaving_in(await response.read())
+                return parse_leaving(await response.read())
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise ConnectionLost(f'host list: {error}') from error
 
 
-def leaving_in(body: bytes) -> list[str]:
-    """Read the leaving hosts off a list."""
+def parse_leaving(body: bytes) -> list[str]:
+    """Return the addresses of the leaving hosts in an encoded list.
+
+    Raises:
+        ConnectionLost: the list can't be decoded.
+    """
     try:
         states = DECODER.decode(body)
     except msgspec.DecodeError as error:
--- a/pollenwalk/connection/http_server.py
+++ b/pollenwalk/connection/http_server.py
@@ -1,4 +1,4 @@
-"""Serving an application from inside a running loop."""
+"""An HTTP server that runs inside the process's event loop."""
 
 import asyncio
 import contextlib
@@ -8,22 +8,23 @@
 import uvicorn
 
 MAX_HEADER_BYTES = 32_768
+# Time that requests in progress get to finish after `stop`.
 STOP_GRACE_S = 3
 KEEP_ALIVE_S = 5
-START_CHECK_S = 0.005
+START_POLL_S = 0.005
 
 
 class EmbeddedServer(uvicorn.Server):
-    """A uvicorn server that leaves signals to its process."""
+    """A uvicorn server that leaves signal handling to its process."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Capture none."""
+        """Install no signal handlers."""
         yield
 
 
 class HttpServer:
-    """One application on one loopback address."""
+    """Serves an ASGI application on one address."""
 
     def __init__(
         self,
@@ -32,13 +33,13 @@
         port: int,
         keep_alive_s: int = KEEP_ALIVE_S,
     ) -> None:
-        """Prepare to serve.
+        """Configure the server without starting it.
 
         Args:
             app: the ASGI application.
-            host: where to listen.
-            port: where to listen.
-            keep_alive_s: how long a connection may be idle.
+            host: IP address to listen on.
+            port: port to listen on.
+            keep_alive_s: time after which an idle connection is closed.
         """
         config = uvicorn.Config(
             app,
@@ -59,7 +60,7 @@
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Serve in the background.
+        """Start serving in the background; return once the server listens.
 
         Raises:
             OSError: the address can't be bound.
@@ -68,17 +69,20 @@
         while not self.server.started:
             if self.task.done():
                 raise OSError('the HTTP address cannot be bound')
-            await asyncio.sleep(START_CHECK_S)
+            await asyncio.sleep(START_POLL_S)
 
     async def stop(self) -> None:
-        """Stop taking connections and finish the requests in progress."""
+        """Stop accepting connections and wait for the requests in progress.
+
+        Requests that run for longer than STOP_GRACE_S are cancelled.
+        """
         self.server.should_exit = True
         if self.task is not None:
             await asyncio.gather(self.task, return_exceptions=True)
 
 
 def free_port() -> int:
-    """Find a free loopback port."""
+    """Return the number of a free port on the loopback interface."""
     with socket.socket() as probe:
         probe.bind(('127.0.0.1', 0))
         return probe.getsockname()[1]
--- a/pollenwalk/connection/service_http.py
+++ b/pollenwalk/connection/service_http.py
@@ -30,7 +30,7 @@
 
     # A request on a kept connection that the service has just closed could
     # not be told from one that ran.
-    keeps_connections = False
+    reuses_connections = False
 
     async def invoke(
         self,
--- a/pollenwalk/connection/tcp_network.py
+++ b/pollenwalk/connection/tcp_network.py
@@ -1,7 +1,7 @@
-"""Channels over plain TCP, for messages that are small and many.
+"""Channels over plain TCP, for large numbers of small messages.
 
-A message costs a fifth of the processor time of one over grpc, and the
-socket can be told to notice a silent peer.
+A message costs a fifth of the CPU time of a message over gRPC. TCP keep-alive,
+set on each socket, detects an unreachable peer.
 """
 
 import asyncio
@@ -16,20 +16,27 @@
 
 
 class TcpChannel:
-    """One connection; implements `Channel`."""
+    """A channel over one TCP connection; implements `Channel`.
+
+    A frame is sent after its length, a little-endian number of LENGTH_BYTES.
+    """
 
     def __init__(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Take over an open connection."""
+        """Wrap an open connection and enable TCP keep-alive on it."""
         self.reader = reader
         self.writer = writer
         enable_keepalive(writer.get_extra_info('socket'))
 
     async def send(self, frame: bytes) -> None:
-        """Write one frame."""
+        """Send one frame.
+
+        Raises:
+            ConnectionLost: the connection has ended.
+        """
         self.writer.write(len(frame).to_bytes(LENGTH_BYTES, 'little') + frame)
         try:
             await self.writer.drain()
@@ -37,38 +44,46 @@
             raise ConnectionLost('the connection has ended') from error
 
     async def receive(self) -> bytes:
-        """Read one frame."""
+        """Wait for the next frame and return it.
+
+        Raises:
+            ConnectionLost: the connection has ended, or the frame is too large.
+        """
         try:
             head = await self.reader.readexactly(LENGTH_BYTES)
             length = int.from_bytes(head, 'little')
             if length > MAX_FRAME_BYTES:
-                raise ConnectionLost(f'a frame of {length} bytes')
+                raise ConnectionLost(f'frame of {length} bytes exceeds the limit')
             return await self.reader.readexactly(length)
         except (OSError, asyncio.IncompleteReadError) as error:
             raise ConnectionLost('the connection has ended') from error
 
     async def close(self) -> None:
-        """End the connection at once."""
+        """Close the connection at once; unsent data is discarded."""
         self.writer.transport.abort()
 
 
 class TcpListener:
-    """A listening address."""
+    """A TCP server on one address; implements `Listener`."""
 
     def __init__(self, server: asyncio.Server) -> None:
-        """Keep the server to stop it."""
+        """Wrap a running server."""
         self.server = server
 
     async def close(self) -> None:
-        """Stop listening."""
+        """Stop listening; accepted channels stay open."""
         self.server.close()
 
 
 class TcpNetwork:
-    """Connects and listens; the part of `Network` that carries channels."""
+    """A network of TCP connections; implements `StreamNetwork`."""
 
     async def connect(self, address: str) -> Channel:
-        """Open a connection."""
+        """Open a channel to `ip:port`.
+
+        Raises:
+            ConnectionLost: the address can't be reached.
+        """
         host, port = split_address(address)
         try:
             reader, writer = await asyncio.open_connection(host, port)
@@ -77,7 +92,7 @@
         return TcpChannel(reader, writer)
 
     async def listen(self, address: str, handler: ChannelHandler) -> Listener:
-        """Accept connections.
+        """Accept channels on `ip:port` and run `handler` for each of them.
 
         Raises:
             OSError: the address can't be bound.
