--- a/pollenwalk/connection/engine_http.py
+++ b/pollenwalk/connection/engine_http.py
@@ -1,9 +1,12 @@
-"""A model engine over the usual chat-completions protocol with SSE.
+"""Client of a model engine: chat completions over HTTP with server-sent events.
 
-Beside `POST /v1/chat/completions` it uses what the engines publish:
-`GET /v1/requests/ID?offset=N` resumes a stream, `DELETE /v1/requests/ID`
-cancels, `GET /v1/cache` lists held programs, `DELETE /v1/cache/PROGRAM`
-returns a program's memory.
+The client uses these requests of the engines:
+
+    POST   /v1/chat/completions          starts a call and streams its tokens
+    GET    /v1/requests/ID?offset=N      resumes the stream of a call
+    DELETE /v1/requests/ID               cancels a call
+    GET    /v1/cache                     lists the programs that are cached
+    DELETE /v1/cache/PROGRAM             frees the memory of a program
 """
 
 from collections.abc import AsyncIterator
@@ -20,27 +23,30 @@
 from pollenwalk.connection.wire import Answer, Tokens
 from pollenwalk.errors import ConnectionLost, Outcome, Refusal, RefusalCode
 
+# Limit on a whole request that is not streamed.
 RESPONSE_TIMEOUT_S = 5
+# Limit on the time between two reads of a stream.
 READ_TIMEOUT_S = 30
 DATA_PREFIX = b'data:'
 DONE_DATA = b'[DONE]'
+# Advised to callers when the engine is overloaded.
 RETRY_AFTER_MS = 500
 
 
 class Delta(TypedDict, total=False):
-    """One piece of an engine's stream."""
+    """The text that a chunk adds to the answer."""
 
     content: str
 
 
 class Choice(TypedDict, total=False):
-    """One choice of a chunk."""
+    """An entry of `choices` in a chunk."""
 
     delta: Delta
 
 
 class Usage(TypedDict, total=False):
-    """What a call has used."""
+    """The token counts of a call."""
 
     completion_tokens: int
     prompt_tokens: int
@@ -48,7 +54,11 @@
 
 
 class Chunk(TypedDict, total=False):
-    """One event of an engine's stream."""
+    """The data of an event in an engine's stream.
+
+    `offset` is the number of tokens before the chunk. Only that of the first
+    chunk with tokens is used, and counts as 0 if it is missing.
+    """
 
     choices: list[Choice]
     usage: Usage | None
@@ -69,10 +79,15 @@
 
 
 class HttpEngine(HttpClient):
-    """A client of one engine."""
+    """A client of one engine; implements `Engine`."""
 
     async def chat(self, request: ChatRequest) -> AsyncIterator[Tokens | Answer]:
-        """Stream tokens and end with the answer."""
+        """Start a call and yield its tokens, then the answer.
+
+        Raises:
+            ConnectionLost: the engine failed or the stream was interrupted.
+            Refusal: the engine refused the call or sent an invalid response.
+        """
         body = {
             'model': 'default',
             'stream': True,
@@ -89,7 +104,12 @@
             yield item
 
     async def resume(self, call: str, offset: int) -> AsyncIterator[Tokens | Answer]:
-        """Go on with a stream that was cut."""
+        """Resume the stream of a call after the first `offset` tokens.
+
+        Raises:
+            ConnectionLost: the engine failed or the stream was interrupted.
+            Refusal: the engine refused the call or sent an invalid response.
+        """
         path = f'/v1/requests/{quote(call, safe="")}?offset={offset}'
         async for item in self.stream_events('GET', path, None):
             yield item
@@ -100,7 +120,12 @@
         path: str,
         body: Any,
     ) -> AsyncIterator[Tokens | Answer]:
-        """Read one stream of events."""
+        """Send a request and yield the items of the event stream in its response.
+
+        Raises:
+            ConnectionLost: the engine failed or the stream was interrupted.
+            Refusal: the engine refused the call or sent an invalid response.
+        """
         timeout = aiohttp.ClientTimeout(total=None, sock_read=READ_TIMEOUT_S)
         try:
             async with self.open_session().request(
@@ -116,11 +141,20 @@
             raise ConnectionLost(f'{method} {path}: {error}') from error
 
     async def cancel(self, call: str) -> None:
-        """Stop generating for a call."""
+        """Stop generating for a call.
+
+        Raises:
+            ConnectionLost: the engine failed or did not answer.
+        """
         await self.fetch('DELETE', f'/v1/requests/{quote(call, safe="")}')
 
     async def list_cache(self) -> dict[str, int]:
-        """Give the cached tokens by program."""
+        """Return the number of cached tokens by program.
+
+        Raises:
+            ConnectionLost: the engine failed or did not answer.
+            Refusal: the engine sent an invalid response.
+        """
         body = await self.fetch('GET', '/v1/cache')
         try:
             return CACHE_DECODER.decode(body)
@@ -128,11 +162,22 @@
             raise invalid_response(error) from error
 
     async def release_memory(self, program: str) -> None:
-        """Return the memory that a program holds."""
+        """Free the memory that the engine holds for a program.
+
+        Raises:
+            ConnectionLost: the engine failed or did not answer.
+        """
         await self.fetch('DELETE', f'/v1/cache/{quote(program, safe="")}')
 
     async def fetch(self, method: str, path: str) -> bytes:
-        """Ask a short question."""
+        """Send a request that is not streamed and return the response body.
+
+        A status below 500 is not checked, so that cancelling or freeing what
+        the engine no longer knows is no error.
+
+        Raises:
+            ConnectionLost: no response in time, or a status of 500 or higher.
+        """
         timeout = aiohttp.ClientTimeout(total=RESPONSE_TIMEOUT_S)
         try:
             async with self.open_session().request(
@@ -150,41 +195,47 @@
 async def read_items(
     response: aiohttp.ClientResponse,
 ) -> AsyncIterator[Tokens | Answer]:
-    """Read an engine's events to their end."""
-    reader = StreamReader()
+    """Yield the tokens of an engine's event stream, then the answer."""
+    parser = EngineStreamParser()
     async for line in response.content:
-        for item in reader.parse_line(line):
+        for item in parser.parse_line(line):
             yield item
 
 
-class StreamReader:
-    """Turns lines of an event stream into tokens and the answer."""
+class EngineStreamParser:
+    """Converts the lines of an event stream into tokens and the answer.
+
+    Attributes:
+        texts: the tokens parsed so far.
+        offset: number of tokens before `texts`; None before the first token.
+        usage: the latest token counts; empty before the first.
+    """
 
     def __init__(self) -> None:
-        """Start before the first line."""
+        """Create a parser for one stream."""
         self.texts: list[str] = []
         self.offset: int | None = None
         self.usage: Usage = {}
 
     def parse_line(self, line: bytes) -> list[Tokens | Answer]:
-        """Read one line.
+        """Parse a line and return the items in it, which are none or one.
 
         Raises:
-            Refusal: what the engine sent makes no sense.
+            Refusal: the data in the line is invalid.
         """
         if not line.startswith(DATA_PREFIX):
             return []
         data = line.removeprefix(DATA_PREFIX).strip()
         if data == DONE_DATA:
-            return [self.answer()]
+            return [self.make_answer()]
         try:
             chunk = CHUNK_DECODER.decode(data)
         except msgspec.DecodeError as error:
             raise invalid_response(error) from error
-        return list(self.tokens(chunk))
+        return list(self.parse_chunk(chunk))
 
-    def tokens(self, chunk: Chunk) -> list[Tokens]:
-        """Give the tokens of a chunk."""
+    def parse_chunk(self, chunk: Chunk) -> list[Tokens]:
+        """Return the tokens of a chunk and update the token counts."""
         self.usage = chunk.get('usage') or self.usage
         contents = [
             choice['delta']['content']
@@ -199,8 +250,11 @@
         self.texts.extend(contents)
         return [Tokens(start, contents)]
 
-    def answer(self) -> Answer:
-        """Give the answer; a resumed stream lacks what came before."""
+    def make_answer(self) -> Answer:
+        """Return the answer with the text and the token counts of this stream.
+
+        After a resumption, the text lacks the tokens before the offset.
+        """
         return Answer(
             {'text': ''.join(self.texts)},
             self.usage.get('completion_tokens', len(self.texts)),
@@ -209,33 +263,33 @@
 
 
 def check_status(status: int) -> None:
-    """Turn an engine's refusal into ours.
+    """Raise an error if an engine answers with a status other than 200.
 
     Raises:
-        Refusal: the engine did not run the call.
-        ConnectionLost: the engine failed.
+        Refusal: a status below 500: the engine did not run the call.
+        ConnectionLost: a status of 500 or higher: the engine failed.
     """
     if status == HTTPStatus.OK:
         return
     if status == HTTPStatus.TOO_MANY_REQUESTS:
         raise Refusal(
             RefusalCode.OVERLOADED,
-            'the engine is full',
+            'the engine is overloaded',
             retry_after_ms=RETRY_AFTER_MS,
         )
     if status < HTTPStatus.INTERNAL_SERVER_ERROR:
         raise Refusal(
             RefusalCode.UPSTREAM_FAILED,
-            f'the engine answered {status}',
+            f'the engine answered with status {status}',
             Outcome.NOT_RUN,
         )
-    raise ConnectionLost(f'the engine answered {status}')
+    raise ConnectionLost(f'the engine answered with status {status}')
 
 
 def invalid_response(error: Exception) -> Refusal:
-    """Refuse what an engine sent."""
+    """Return the refusal of a call whose response can't be decoded."""
     return Refusal(
         RefusalCode.UPSTREAM_FAILED,
-        f'the engine sent garbage: {error}',
+        f'the engine sent an invalid response: {error}',
         Outcome.UNKNOWN,
     )
--- a/pollenwalk/connection/service_http.py
+++ b/pollenwalk/connection/service_http.py
@@ -1,4 +1,4 @@
-"""A plain service over HTTP: `POST /OPERATION` with a JSON body."""
+"""Client of a plain service over HTTP: `POST /OPERATION` with a JSON body."""
 
 from http import HTTPStatus
 from typing import Any
@@ -10,7 +10,8 @@
 from pollenwalk.connection.http_client import HttpClient
 from pollenwalk.errors import Outcome, Refusal, RefusalCode
 
-NOT_BEGUN = frozenset(
+# Statuses with which a service states that it did not run the operation.
+NOT_RUN_STATUSES = frozenset(
     (
         HTTPStatus.NOT_FOUND,
         HTTPStatus.METHOD_NOT_ALLOWED,
@@ -23,13 +24,13 @@
 
 
 class HttpService(HttpClient):
-    """A client of one plain service.
+    """A client of one plain service; implements `Service`.
 
-    The call's timeout is the sidecar's, so none is set here.
+    No timeout is set here, as the sidecar limits the duration of the call.
     """
 
-    # A request on a kept connection that the service has just closed could
-    # not be told from one that ran.
+    # If the service closed a reused connection just as a request was sent on
+    # it, the client could not tell whether the operation ran.
     reuses_connections = False
 
     async def invoke(
@@ -38,7 +39,12 @@
         operation: str,
         argument: dict[str, Any],
     ) -> dict[str, Any]:
-        """Run an operation once."""
+        """Run an operation once and return its output.
+
+        Raises:
+            Refusal: the operation failed or its outcome is unknown. The outcome
+                is `not_run` only if the service can't have started it.
+        """
         try:
             async with self.open_session().post(
                 f'{self.url}/{quote(operation)}',
@@ -48,48 +54,52 @@
             ) as response:
                 return read_output(response.status, await response.read())
         except aiohttp.ClientConnectorError as error:
-            # No connection was made, so the service can't have begun.
+            # No connection was made, so the service can't have run the operation.
             raise Refusal(
                 RefusalCode.UPSTREAM_FAILED,
-                f'the service takes no connection: {error}',
+                f'cannot connect to the service: {error}',
                 retry_after_ms=RETRY_AFTER_MS,
             ) from error
         except (aiohttp.ClientError, OSError) as error:
-            raise unknown(f'the connection broke: {error}') from error
+            raise unknown_outcome(f'connection to the service lost: {error}') from error
 
 
 def read_output(status: int, body: bytes) -> dict[str, Any]:
-    """Read a service's answer.
+    """Return the output in a service's response.
 
     Raises:
-        Refusal: it refused, failed, or sent garbage.
+        Refusal: the service refused, failed, or sent an invalid response.
     """
-    if status in NOT_BEGUN:
+    if status in NOT_RUN_STATUSES:
         raise Refusal(
             RefusalCode.UPSTREAM_FAILED,
-            f'the service answered {status}',
+            f'the service answered with status {status}',
             retry_after_ms=RETRY_AFTER_MS,
         )
     if status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-        raise unknown(f'the service answered {status}')
+        raise unknown_outcome(f'the service answered with status {status}')
     output = decode_output(body)
     if status >= HTTPStatus.BAD_REQUEST:
         raise Refusal(
             RefusalCode.UPSTREAM_FAILED,
-            f'the service answered {status}: {output}',
+            f'the service answered with status {status}: {output}',
             Outcome.RAN,
         )
     return output
 
 
 def decode_output(body: bytes) -> dict[str, Any]:
-    """Decode a service's JSON object; raises `Refusal` for garbage."""
+    """Decode the JSON object in a service's response.
+
+    Raises:
+        Refusal: the body is not a JSON object; the outcome is unknown.
+    """
     try:
         return OUTPUT_DECODER.decode(body)
     except msgspec.DecodeError as error:
-        raise unknown(f'the service sent garbage: {error}') from error
+        raise unknown_outcome(f'the service response is invalid: {error}') from error
 
 
-def unknown(text: str) -> Refusal:
-    """Refuse without knowing whether the service acted."""
+def unknown_outcome(text: str) -> Refusal:
+    """Return a refusal that leaves open whether the service ran the operation."""
     return Refusal(RefusalCode.OUTCOME_UNKNOWN, text, Outcome.UNKNOWN)
--- a/pollenwalk/connection/sidecar_api.py
+++ b/pollenwalk/connection/sidecar_api.py
@@ -1,4 +1,4 @@
-"""Health and metrics of a sidecar over HTTP; requests come by grpc alone."""
+"""Health checks and metrics of a sidecar over HTTP; its calls arrive over gRPC."""
 
 from http import HTTPStatus
 
@@ -15,7 +15,7 @@
     """The HTTP routes of one sidecar."""
 
     def __init__(self, sidecar: Sidecar) -> None:
-        """Serve `sidecar`."""
+        """Create the API of `sidecar` and register its gauges."""
         self.sidecar = sidecar
         self.registry = Registry()
         self.running = self.gauge('running_calls', 'Calls at the upstream.')
@@ -24,11 +24,11 @@
         self.leases = self.gauge('memory_leases', 'Leases on engine memory.')
 
     def gauge(self, name: str, text: str) -> Gauge:
-        """Register a gauge."""
+        """Register a gauge and return it; `text` is its help text."""
         return Gauge(f'pollenwalk_sidecar_{name}', text, registry=self.registry)
 
     def app(self) -> Starlette:
-        """Build the application."""
+        """Build the ASGI application."""
         return Starlette(
             routes=[
                 Route('/healthz', self.healthz),
@@ -38,17 +38,17 @@
         )
 
     async def healthz(self, request: Request) -> Response:
-        """Tell that the process answers."""
+        """Answer `GET /healthz`: the process is running."""
         return JSONResponse({'status': 'ok'})
 
     async def readyz(self, request: Request) -> Response:
-        """Tell whether calls can be taken."""
+        """Answer `GET /readyz`: 200 if the sidecar accepts calls, else 503."""
         ready = self.sidecar.executor.spec is not None and not self.sidecar.leaving
         status = HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE
         return JSONResponse({'ready': ready}, status_code=status)
 
     async def metrics(self, request: Request) -> Response:
-        """Show the metrics in the Prometheus text format."""
+        """Answer `GET /metrics` in the Prometheus text format."""
         leases = self.sidecar.executor.leases
         self.running.set({}, self.sidecar.executor.slot_queue.running)
         self.waiting.set({}, len(self.sidecar.executor.slot_queue.waiting))
--- a/pollenwalk/connection/store_http.py
+++ b/pollenwalk/connection/store_http.py
@@ -1,11 +1,11 @@
-"""The platform's object API over HTTP.
+"""Client of the platform's object store over HTTP.
 
 GET    /objects/KEY            the body; its version in the ETag
 PUT    /objects/KEY            with `If-Match: VERSION`, `If-None-Match: *`
                                or neither
 DELETE /objects/KEY
 GET    /list?prefix=P          {"revision", "objects": [...]}
-GET    /watch?prefix=P&revision=R   the same, once something has changed
+GET    /watch?prefix=P&revision=R   the same, after the next change
 """
 
 import base64
@@ -25,7 +25,7 @@
 
 
 class ListedObject(NamedTuple):
-    """An object in a list; the body is base64."""
+    """An object in a listing; `body` is base64."""
 
     key: str
     body: str
@@ -33,7 +33,7 @@
 
 
 class Listing(NamedTuple):
-    """The answer to a list or a watch."""
+    """The response to a list or a watch request."""
 
     revision: int
     objects: list[ListedObject]
@@ -43,7 +43,7 @@
 
 
 class HttpStore(HttpClient):
-    """A client of the object API."""
+    """A client of the object store; implements `ObjectStore`."""
 
     async def request(
         self,
@@ -51,11 +51,17 @@
         path: str,
         timeout_s: float = ANSWER_TIMEOUT_S,
         **options: Any,
-    ) -> 'StoreAnswer':
-        """Ask the API.
+    ) -> 'StoreResponse':
+        """Send a request and return the response.
+
+        Args:
+            method: HTTP method.
+            path: path and query.
+            timeout_s: limit on the whole request.
+            **options: further arguments of `aiohttp.ClientSession.request`.
 
         Raises:
-            StoreUnavailable: no answer, or one that says so.
+            StoreUnavailable: no response in time, or status 429 or 5xx.
         """
         timeout = aiohttp.ClientTimeout(total=timeout_s)
         try:
@@ -65,7 +71,7 @@
                 timeout=timeout,
                 **options,
             ) as response:
-                answer = StoreAnswer(
+                answer = StoreResponse(
                     response.status,
                     await response.read(),
                     response.headers.get('ETag', ''),
@@ -79,14 +85,25 @@
         return answer
 
     async def get(self, key: str) -> StoredObject | None:
-        """Read one object."""
+        """Return an object, or None if there is none with this key."""
         answer = await self.request('GET', object_path(key))
         if answer.status == HTTPStatus.NOT_FOUND:
             return None
         return StoredObject(key, answer.body, answer.version)
 
     async def put(self, key: str, body: bytes, version: int | None) -> int:
-        """Write an object, on a condition unless `version` is None."""
+        """Write an object and return its new version.
+
+        Args:
+            key: key of the object.
+            body: new content.
+            version: version that the object must have, or ABSENT if it must not
+                exist; None to write unconditionally.
+
+        Raises:
+            StoreConflict: the object has another version.
+            StoreUnavailable: the store did not answer.
+        """
         headers = {}
         if version == ABSENT:
             headers['If-None-Match'] = '*'
@@ -99,17 +116,17 @@
             headers=headers,
         )
         if answer.status == HTTPStatus.PRECONDITION_FAILED:
-            raise StoreConflict(f'{key} has another version')
+            raise StoreConflict(f'{key} does not have the expected version')
         return answer.version
 
     async def delete(self, key: str) -> None:
-        """Delete an object."""
+        """Delete an object; has no effect if there is none."""
         await self.request('DELETE', object_path(key))
 
     async def scan(self, prefix: str) -> Changes:
-        """Read all objects below a prefix."""
+        """Return all objects whose keys begin with a prefix."""
         answer = await self.request('GET', f'/list?prefix={quote(prefix)}')
-        return as_changes(answer)
+        return decode_changes(answer)
 
     async def watch(
         self,
@@ -117,13 +134,16 @@
         revision: int,
         wait_ms: int = WATCH_TIMEOUT_MS,
     ) -> Changes:
-        """Wait for changes after a revision."""
+        """Wait for changes after a revision and return them.
+
+        `wait_ms` is not used; the request takes at most WATCH_TIMEOUT_S.
+        """
         path = f'/watch?prefix={quote(prefix)}&revision={revision}'
-        return as_changes(await self.request('GET', path, WATCH_TIMEOUT_S))
+        return decode_changes(await self.request('GET', path, WATCH_TIMEOUT_S))
 
 
-class StoreAnswer(NamedTuple):
-    """What the API answered."""
+class StoreResponse(NamedTuple):
+    """A response of the object store."""
 
     status: int
     body: bytes
@@ -131,34 +151,34 @@
 
     @property
     def version(self) -> int:
-        """Read the version off the ETag.
+        """Return the object's version from the ETag.
 
         Raises:
-            StoreUnavailable: the answer makes no sense.
+            StoreUnavailable: the ETag is not a version.
         """
         text = self.etag.strip('"')
         if not text.isdecimal():
-            raise StoreUnavailable(f'status {self.status} with ETag {self.etag!r}')
+            raise StoreUnavailable(f'status {self.status}, invalid ETag {self.etag!r}')
         return int(text)
 
 
 def object_path(key: str) -> str:
-    """Give the path of an object."""
+    """Return the URL path of an object."""
     return f'/objects/{quote(key)}'
 
 
-def as_changes(answer: StoreAnswer) -> Changes:
-    """Read a list or a watch.
+def decode_changes(answer: StoreResponse) -> Changes:
+    """Decode the response to a list or a watch request.
 
     Raises:
-        StoreUnavailable: the answer makes no sense.
+        StoreUnavailable: the response can't be decoded.
     """
     try:
         listing = LISTING_DECODER.decode(answer.body)
         objects = [
-            StoredObject(one.key, base64.b64decode(one.body), one.version)
-            for one in listing.objects
+            StoredObject(listed.key, base64.b64decode(listed.body), listed.version)
+            for listed in listing.objects
         ]
     except (msgspec.DecodeError, ValueError) as error:
-        raise StoreUnavailable(f'the answer makes no sense: {error}') from error
+        raise StoreUnavailable(f'invalid listing: {error}') from error
     return Changes(listing.revision, objects)
--- a/pollenwalk/connection/upstream.py
+++ b/pollenwalk/connection/upstream.py
@@ -1,4 +1,4 @@
-"""What a sidecar needs of the upstream beside it."""
+"""Interfaces through which a sidecar uses the upstream on its host."""
 
 from collections.abc import AsyncIterator
 from typing import Any, NamedTuple, Protocol
@@ -7,7 +7,15 @@
 
 
 class ChatRequest(NamedTuple):
-    """One model call as an engine takes it."""
+    """A model call as it is sent to an engine.
+
+    Attributes:
+        call: id of the call.
+        program: id of the program, by which the engine caches tokens.
+        messages: the history of the program, ending with the new message.
+        max_tokens: limit on the generated tokens.
+        priority: priority of the call at the engine.
+    """
 
     call: str
     program: str
@@ -19,31 +27,39 @@
 class Engine(Protocol):
     """A model engine.
 
-    Every method raises `ConnectionLost` when the engine gives no answer.
+    Every method raises `ConnectionLost` if the engine does not answer.
     """
 
     def chat(self, request: ChatRequest) -> AsyncIterator[Tokens | Answer]:
-        """Stream tokens and end with the answer.
+        """Start a call and yield its tokens, then the answer.
 
         Raises:
-            Refusal: the engine refused, or what it sent makes no sense.
+            Refusal: the engine refused the call or sent an invalid response.
         """
 
     def resume(self, call: str, offset: int) -> AsyncIterator[Tokens | Answer]:
-        """Go on with a stream that was cut."""
+        """Resume the stream of a call after the first `offset` tokens.
+
+        Raises:
+            Refusal: the engine refused the call or sent an invalid response.
+        """
 
     async def cancel(self, call: str) -> None:
-        """Stop generating for a call; one that has ended is no error."""
+        """Stop generating for a call; has no effect if the call has ended."""
 
     async def list_cache(self) -> dict[str, int]:
-        """Give the cached tokens by program."""
+        """Return the number of cached tokens by program.
+
+        Raises:
+            Refusal: the engine sent an invalid response.
+        """
 
     async def release_memory(self, program: str) -> None:
-        """Return the memory that a program holds."""
+        """Free the memory that the engine holds for a program."""
 
 
 class Service(Protocol):
-    """A plain service."""
+    """A service that is not a model engine."""
 
     async def invoke(
         self,
@@ -51,8 +67,14 @@
         operation: str,
         argument: dict[str, Any],
     ) -> dict[str, Any]:
-        """Run an operation once.
+        """Run an operation once and return its output.
+
+        Args:
+            call: id of the call, sent as the idempotency key.
+            operation: name of the operation.
+            argument: input of the operation.
 
         Raises:
-            Refusal: with `not_run` only when the service can't have begun.
+            Refusal: the operation failed or its outcome is unknown. The outcome
+                is `not_run` only if the service can't have started it.
         """
--- a/test/connection/test_wire.py
+++ b/test/connection/test_wire.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies
 
 from pollenwalk.connection import wire
-from pollenwalk.connection.engine_http import StreamReader
+from pollenwalk.connection.engine_http import EngineStreamParser
 from pollenwalk.errors import Refusal
 from pollenwalk.program.records import Ended, decode_records, encode_records
 
@@ -56,7 +56,7 @@
     @hypothesis.given(strategies.binary(max_size=100))
     def test_engine_noise_is_refused(self, noise: bytes) -> None:
         try:
-            StreamReader().parse_line(b'data: ' + noise)
+            EngineStreamParser().parse_line(b'data: ' + noise)
         except Refusal:
             return
 
