--- a/pollenwalk/connection/wire.py
+++ b/pollenwalk/connection/wire.py
@@ -1,7 +1,9 @@
-"""The typed messages between pollenwalk's own processes and their codec.
+"""The messages between pollenwalk processes, and their encoding.
 
-Each message is a `NamedTuple` and travels as a msgpack array inside a frame
-that names its kind. A frame that does not decode ends the connection.
+Each message is a `NamedTuple` and is encoded as a msgpack array, so the order
+of its fields is part of the protocol and their names are not. A frame contains
+one message and states its kind, which is the name of the message type. A frame
+that can't be decoded ends the connection.
 """
 
 from collections.abc import Iterable
@@ -34,10 +36,15 @@
 
 
 class Hello(NamedTuple):
-    """First message of a connection, from the side that connects.
-
-    `epoch` grows with each connection of one incarnation to the same peer,
-    so the peer can drop what an older connection still holds.
+    """First message on a connection, sent by the side that connects.
+
+    Attributes:
+        protocol: protocol version of the sender.
+        incarnation: id of this start of the sending process.
+        epoch: number of this connection among those of the incarnation to the
+            same peer. The peer can thereby reject what still arrives on an
+            earlier connection.
+        zone: availability zone of the sender.
     """
 
     protocol: int
@@ -47,25 +54,38 @@
 
 
 class Welcome(NamedTuple):
-    """The answer to `Hello`; `boot_id` names this start of the peer."""
+    """The answer to `Hello`; `boot_id` is the id of this start of the peer."""
 
     protocol: int
     boot_id: str
 
 
 class HistoryItem(NamedTuple):
-    """One entry of a program's history, as a chat message."""
+    """A chat message in a program's history."""
 
     role: str
     content: str
 
 
 class Dispatch(NamedTuple):
-    """A call handed to the sidecar of the chosen upstream host.
-
-    `base` is the digest of the history the sidecar is believed to hold and
-    `delta` what follows it; an empty `base` means the delta is everything.
-    `age_ms` is the time since the program began.
+    """A call, sent to the sidecar of the chosen upstream host.
+
+    Attributes:
+        call: id of the call.
+        program: id of the program.
+        boot_id: the start of the sidecar that the call is meant for.
+        operation: name of the operation.
+        idempotent: whether the call may be run more than once.
+        argument: input of the operation.
+        base: digest of the history that the sidecar is expected to have cached;
+            empty if `delta` is the whole history.
+        delta: the history after `base`.
+        digest: digest of the whole history.
+        max_tokens: limit on the generated tokens.
+        priority: priority of the call.
+        program_age_ms: time since the program began.
+        time_left_ms: time until the call's deadline.
+        trace: trace context of the call.
     """
 
     call: str
@@ -85,18 +105,22 @@
 
 
 class Tokens(NamedTuple):
-    """Streamed tokens from `offset` on."""
+    """Streamed tokens of an answer; `offset` tokens come before them."""
 
     offset: int
     texts: list[str]
 
 
 class Answer(NamedTuple):
-    """The whole answer of an upstream.
-
-    `prefilled` counts prompt tokens that the engine had to compute, and
-    `ahead` the calls that the sidecar still has, so that load is known sooner
-    than by reports.
+    """The complete answer of an upstream.
+
+    Attributes:
+        output: output of the operation.
+        tokens: number of generated tokens.
+        prefilled: number of prompt tokens that the engine computed, as they
+            were not in its cache.
+        remaining_calls: number of calls that are still running or queued at the
+            sidecar. The entry thereby knows the load before the next report.
     """
 
     output: dict[str, Any]
@@ -106,13 +130,20 @@
 
 
 class NeedHistory(NamedTuple):
-    """The sidecar lacks the history that `Dispatch.base` names."""
+    """Answer to `Dispatch`: the sidecar does not have the history `base`."""
 
     program: str
 
 
 class Resolve(NamedTuple):
-    """Ask what became of a call; `fence` names a sealed incarnation."""
+    """Request for the state of a dispatched call.
+
+    Attributes:
+        call: id of the call.
+        boot_id: the start of the sidecar that the call was sent to.
+        fence: a sealed incarnation, whose dispatches the sidecar must refuse
+            from now on; empty if none.
+    """
 
     call: str
     boot_id: str
@@ -120,13 +151,13 @@
 
 
 class Resolution(NamedTuple):
-    """What a sidecar knows of a call: 'done', 'running' or 'not_run'."""
+    """The answer to `Resolve`: state 'done', 'running' or 'not_run'."""
 
     state: str
 
 
 class Follow(NamedTuple):
-    """Attach to a call that the sidecar runs or has finished."""
+    """Request for the tokens, after `offset`, and the answer of a known call."""
 
     call: str
     boot_id: str
@@ -134,33 +165,48 @@
 
 
 class Settle(NamedTuple):
-    """The results of these calls are durable; the sidecar may drop them."""
+    """Notice that the results of these calls are durable.
+
+    The sidecar may discard its copies of them.
+    """
 
     calls: list[str]
 
 
 class Renew(NamedTuple):
-    """Programs that still want their engine memory here."""
+    """Request to renew the leases of these programs on engine memory."""
 
     programs: list[str]
 
 
 class Release(NamedTuple):
-    """Programs that have ended; their engine memory must be returned."""
+    """Request to free the engine memory of these programs, which have ended."""
 
     programs: list[str]
 
 
 class Drain(NamedTuple):
-    """An operator lets a sidecar take no new calls."""
+    """Request of an operator that a sidecar accept no new calls."""
 
 
 class Done(NamedTuple):
-    """Nothing to report."""
+    """Answer without content to a request that has succeeded."""
 
 
 class BeginProgram(NamedTuple):
-    """Begin a declared program; `program` is its id once that is settled."""
+    """Request to begin a declared program.
+
+    Attributes:
+        declaration: name of the declared program.
+        caller: name of the caller.
+        key: idempotency key; empty if none.
+        budget: token budget, at most that of the declaration; None for that one.
+        deadline_ms: time that the program may take, at most that of the
+            declaration; None for that one.
+        parent: id of the program whose budget this one's is taken from; None if
+            there is none.
+        program: id of the new program; empty until it is determined.
+    """
 
     declaration: str
     caller: str
@@ -172,7 +218,19 @@
 
 
 class CallProgram(NamedTuple):
-    """One call of a program, as its caller gave it."""
+    """A call of a program, as its caller sent it.
+
+    Attributes:
+        program: id of the program.
+        key: idempotency key.
+        sequence: sequence number of the call within the program.
+        upstream: name of the upstream.
+        operation: name of the operation.
+        argument: input of the operation.
+        offset: number of tokens that the caller already has.
+        time_left_ms: time until the call's deadline.
+        trace: trace context of the call.
+    """
 
     program: str
     key: str
@@ -186,34 +244,35 @@
 
 
 class ViewProgram(NamedTuple):
-    """Ask for a program's state."""
+    """Request for the state of a program."""
 
     program: str
 
 
 class ViewCall(NamedTuple):
-    """Ask for a kept answer."""
+    """Request for the stored answer to the call with this idempotency key."""
 
     program: str
     key: str
 
 
 class EndProgram(NamedTuple):
-    """End a program and cancel what it runs."""
+    """Request to end a program and cancel its running calls."""
 
     program: str
 
 
 class View(NamedTuple):
-    """A resource of the callers' API as JSON."""
+    """A resource of the callers' API, as the JSON object to be returned."""
 
     body: dict[str, Any]
 
 
 class ClaimKey(NamedTuple):
-    """Settle which program a key has begun.
+    """Request to bind an idempotency key of a caller to a program id.
 
-    The first claim wins; an empty `program` only asks.
+    The first claim of a key wins. An empty `program` only asks which program
+    the key is bound to.
     """
 
     caller: str
@@ -222,13 +281,21 @@
 
 
 class Claim(NamedTuple):
-    """The program of a key; empty when there is none."""
+    """The answer to `ClaimKey`: the program bound to the key; empty if none."""
 
     program: str
 
 
 class WitnessAppend(NamedTuple):
-    """Batches that are not in the store yet; those up to `base` are."""
+    """Journal batches for a witness, which are not in the store yet.
+
+    Attributes:
+        incarnation: the owner whose journal it is.
+        base: number of the last batch that is in the store; the witness can
+            discard batches up to it.
+        first: number of the first of `batches`.
+        batches: consecutive encoded batches.
+    """
 
     incarnation: str
     base: int
@@ -237,27 +304,45 @@
 
 
 class WitnessSeal(NamedTuple):
-    """Stop accepting batches of a dead incarnation and hand them over."""
+    """Request to accept no more batches of a dead incarnation.
+
+    The witness answers with the batches after number `base`.
+    """
 
     incarnation: str
     base: int
 
 
 class WitnessBatches(NamedTuple):
-    """What a witness holds after the asked-for base."""
+    """The answer to `WitnessSeal`; `first` is the number of the first batch."""
 
     first: int
     batches: list[bytes]
 
 
 class HandOver(NamedTuple):
-    """A stopping entry asks for its programs to be taken over now."""
+    """Request of a stopping entry to take over its programs now."""
 
     incarnation: str
 
 
 class Report(NamedTuple):
-    """A sidecar's load, by datagram."""
+    """Load report of a sidecar, sent by datagram.
+
+    Attributes:
+        sidecar: name of the sidecar.
+        boot_id: id of this start of the sidecar.
+        upstream: name of the upstream that it serves.
+        address: `ip:port` of the sidecar.
+        zone: availability zone of the sidecar.
+        number: number of the report; later reports have higher numbers.
+        running: number of running calls.
+        queued: number of calls waiting for a slot.
+        slots: number of calls that may run concurrently.
+        leaving: whether the sidecar accepts no new calls.
+        version: version of the upstream's declaration in use.
+        digest: digest of the `Entries` message received last.
+    """
 
     sidecar: str
     boot_id: str
@@ -274,16 +359,20 @@
 
 
 class Beat(NamedTuple):
-    """An entry's heartbeat, by datagram."""
+    """Heartbeat of an entry, sent by datagram; each has a higher number.
+
+    Sent as a request with number 0, it checks whether a process answers.
+    """
 
     incarnation: str
     number: int
 
 
 class Entries(NamedTuple):
-    """The entries that a sidecar should report to, and how often.
+    """The entries that a sidecar has to report to, and the interval.
 
-    `digest` comes back in the reports; nothing is sent while it is the same.
+    The sidecar's reports state the `digest` that it received last. The message
+    is sent again only if that differs from the current one.
     """
 
     addresses: list[str]
@@ -292,7 +381,11 @@
 
 
 class UpstreamConfig(NamedTuple):
-    """A newer accepted declaration, sent back to a reporting sidecar."""
+    """A newer accepted declaration of an upstream, sent to its sidecars.
+
+    It is sent when it is accepted, and in response to each report that states
+    an older version.
+    """
 
     name: str
     version: int
@@ -354,7 +447,13 @@
 
 
 class Frame(NamedTuple):
-    """One message of one exchange."""
+    """One message of an exchange, which is a request with its responses.
+
+    Attributes:
+        exchange: number of the exchange on its connection.
+        kind: name of the message type, CANCEL_KIND or END_KIND.
+        body: the message; None for CANCEL_KIND and END_KIND.
+    """
 
     exchange: int
     kind: str
@@ -375,15 +474,15 @@
 
 
 def encode_frames(frames: Iterable[Frame]) -> bytes:
-    """Pack frames into one transport message."""
+    """Encode frames as one message of a channel."""
     return ENCODER.encode(list(frames))
 
 
 def decode_frames(payload: bytes) -> list[Frame]:
-    """Unpack a transport message.
+    """Decode the frames in one message of a channel.
 
     Raises:
-        Refusal: with code `protocol` when it is no valid message.
+        Refusal: the payload is malformed; the code is `protocol`.
     """
     try:
         return [decode_body(raw) for raw in FRAMES_DECODER.decode(payload)]
@@ -392,25 +491,30 @@
 
 
 def decode_body(raw: RawFrame) -> Frame:
-    """Decode one body by the kind that its frame names."""
+    """Decode the body of a frame according to its kind.
+
+    Raises:
+        Refusal: the kind is unknown; the code is `protocol`.
+        msgspec.DecodeError: the body is malformed.
+    """
     if raw.kind in {CANCEL_KIND, END_KIND}:
         return Frame(raw.exchange, raw.kind, None)
     decoder = DECODERS.get(raw.kind)
     if decoder is None:
-        raise Refusal(RefusalCode.PROTOCOL, f'unknown kind {raw.kind!r}')
+        raise Refusal(RefusalCode.PROTOCOL, f'unknown message kind {raw.kind!r}')
     return Frame(raw.exchange, raw.kind, decoder.decode(raw.body))
 
 
 def encode_datagram(message: Any) -> bytes:
-    """Pack one message for a datagram."""
+    """Encode a message as the payload of a datagram."""
     return ENCODER.encode(Frame(0, type(message).__name__, message))
 
 
 def decode_datagram(payload: bytes) -> Any:
-    """Unpack a datagram.
+    """Decode the message in a datagram.
 
     Raises:
-        Refusal: with code `protocol` when it is no valid message.
+        Refusal: the payload is malformed; the code is `protocol`.
     """
     try:
         return decode_body(DATAGRAM_DECODER.decode(payload)).body
@@ -419,7 +523,7 @@
 
 
 def malformed(error: Exception) -> Refusal:
-    """Describe a payload that does not decode."""
+    """Return the refusal of a payload that can't be decoded."""
     return Refusal(
         RefusalCode.PROTOCOL,
         f'malformed message: {error}',
