--- a/pollenwalk/connection/peer.py
+++ b/pollenwalk/connection/peer.py
@@ -1,8 +1,9 @@
-"""Exchanges with another process over one channel.
+"""Requests to other processes, multiplexed over one channel.
 
-The side that connects asks; the side that listens answers each question with
-a stream of messages. Frames of all exchanges that fall due within a short
-window travel together, which is what makes a streamed token cheap.
+The side that connects sends requests; the side that listens answers each
+request with a stream of messages. A request with its answers is an exchange.
+Frames of all exchanges that are queued within a short window are sent in one
+batch, which reduces the cost of streamed tokens.
 """
 
 import asyncio
@@ -34,6 +35,7 @@
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.tasks import TaskSet
 
+# Maximum delay of tokens that wait for more frames to be sent with them.
 COALESCE_MS = 4
 CONNECT_TIMEOUT_MS = 2000
 
@@ -44,15 +46,22 @@
 
 
 def ends_exchange(item: Any) -> bool:
-    """Tell whether an exchange ends with this."""
+    """Return whether a queued item is the last of its exchange."""
     return item is END or isinstance(item, Exception)
 
 
 class FrameWriter:
-    """Sends queued frames together; tokens wait a few ms for company."""
+    """Sends queued frames in batches and delays tokens to make batches larger.
+
+    Attributes:
+        window_ms: maximum delay of tokens; 0 sends them at once.
+        queue: frames that are not sent yet.
+        waiting: set while `queue` is not empty.
+        urgent: set while `queue` contains a frame that must not be delayed.
+    """
 
     def __init__(self, channel: Channel, clock: Clock, window_ms: float) -> None:
-        """Write to `channel`, holding tokens for at most `window_ms`."""
+        """Create a writer to `channel` that delays tokens by up to `window_ms`."""
         self.channel = channel
         self.clock = clock
         self.window_ms = window_ms
@@ -61,14 +70,21 @@
         self.urgent = asyncio.Event()
 
     def put(self, frame: Frame) -> None:
-        """Queue a frame; all but tokens, and a first token, go out at once."""
+        """Queue a frame.
+
+        Only tokens are delayed, except for the first tokens of an answer.
+        """
         self.queue.append(frame)
         self.waiting.set()
         if not isinstance(frame.body, Tokens) or not frame.body.offset:
             self.urgent.set()
 
     async def run(self) -> None:
-        """Write until the channel ends."""
+        """Send queued frames until the channel ends.
+
+        Raises:
+            ConnectionLost: the channel has ended.
+        """
         while True:
             await self.waiting.wait()
             await self.wait_for_batch()
@@ -79,7 +95,7 @@
             await self.channel.send(encode_frames(batch))
 
     async def wait_for_batch(self) -> None:
-        """Wait for more tokens unless something urgent is queued."""
+        """Wait until the window has passed or an urgent frame is queued."""
         if self.urgent.is_set() or not self.window_ms:
             return
         try:
@@ -90,22 +106,31 @@
 
 
 class PendingRequests:
-    """The open questions of one connection."""
+    """The requests of a connection whose answers are not complete.
+
+    Attributes:
+        queues: queues of received answers by number of the exchange.
+        last_number: number of the exchange that was begun last.
+    """
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create an empty table."""
         self.queues: dict[int, asyncio.Queue[Any]] = {}
-        self.last = 0
+        self.last_number = 0
+
+    def add(self) -> tuple[int, asyncio.Queue[Any]]:
+        """Add a request.
 
-    def open(self) -> tuple[int, asyncio.Queue[Any]]:
-        """Number a new question and make the queue of its answers."""
-        self.last += 1
+        Returns:
+            The number of its exchange and the queue for its answers.
+        """
+        self.last_number += 1
         queue: asyncio.Queue[Any] = asyncio.Queue()
-        self.queues[self.last] = queue
-        return self.last, queue
+        self.queues[self.last_number] = queue
+        return self.last_number, queue
 
-    def take(self, frame: Frame) -> None:
-        """Hand an answer to the question it belongs to."""
+    def deliver(self, frame: Frame) -> None:
+        """Queue an answer for its request; ignore it if the request has ended."""
         queue = self.queues.get(frame.exchange)
         if queue is None:
             return
@@ -116,67 +141,80 @@
         else:
             queue.put_nowait(frame.body)
 
-    def fail(self) -> None:
-        """End all open questions: the connection is gone."""
+    def fail_all(self) -> None:
+        """Make all requests raise `ConnectionLost`."""
         for queue in self.queues.values():
-            queue.put_nowait(ConnectionLost('the peer is gone'))
+            queue.put_nowait(ConnectionLost('connection to the peer lost'))
 
 
 class Connection:
-    """One open connection to a peer that answers questions."""
+    """The requesting side of a connection to a peer.
+
+    Attributes:
+        lost: whether the connection has ended.
+        boot_id: id of this start of the peer; known after the handshake.
+    """
 
     def __init__(self, channel: Channel, clock: Clock, tasks: TaskSet) -> None:
-        """Take over a fresh channel."""
+        """Create a connection over a new channel, without the handshake."""
         self.channel = channel
         self.tasks = tasks
         self.writer = FrameWriter(channel, clock, 0)
-        self.exchanges = PendingRequests()
+        self.pending = PendingRequests()
         self.lost = False
         self.boot_id = ''
 
     async def handshake(self, hello: Hello) -> None:
-        """Say who we are and learn the peer's boot id."""
+        """Start reading and writing, send `hello` and store the peer's boot id.
+
+        Raises:
+            ConnectionLost: the connection ended first.
+            Refusal: the peer uses another protocol version.
+        """
         self.tasks.spawn(self.write(), 'connection_write')
         self.tasks.spawn(self.read(), 'connection_read')
         welcome = await self.request(hello)
         self.boot_id = welcome.boot_id
 
     async def write(self) -> None:
-        """Run the writer until the channel ends."""
+        """Send queued frames until the channel ends."""
         try:
             await self.writer.run()
         except ConnectionLost:
-            self.end()
+            self.mark_lost()
 
     async def read(self) -> None:
-        """Deliver answers until the channel ends."""
+        """Deliver received answers until the channel ends or a frame is invalid."""
         try:
             while True:
                 for frame in decode_frames(await self.channel.receive()):
-                    self.exchanges.take(frame)
+                    self.pending.deliver(frame)
         except PollenwalkError:
-            self.end()
+            self.mark_lost()
 
-    def end(self) -> None:
-        """Fail what is open and refuse what comes."""
+    def mark_lost(self) -> None:
+        """Make pending and later requests raise `ConnectionLost`."""
         self.lost = True
-        self.exchanges.fail()
+        self.pending.fail_all()
 
     async def close(self) -> None:
-        """End the connection from this side."""
-        self.end()
+        """Fail the pending requests and close the channel."""
+        self.mark_lost()
         await self.channel.close()
 
     async def stream(self, message: Any) -> AsyncIterator[Any]:
-        """Ask a question and give its answers as they come.
+        """Send a request and yield its answers as they arrive.
+
+        Closing the iterator before the last answer cancels the request at the
+        peer.
 
         Raises:
             ConnectionLost: the connection ended first.
-            Refusal: the peer refused.
+            Refusal: the peer refused the request.
         """
         if self.lost:
-            raise ConnectionLost('the peer is gone')
-        number, queue = self.exchanges.open()
+            raise ConnectionLost('connection to the peer lost')
+        number, queue = self.pending.add()
         self.writer.put(Frame(number, type(message).__name__, message))
         item = None
         try:
@@ -186,22 +224,37 @@
                     break
                 yield item
         finally:
-            self.exchanges.queues.pop(number, None)
+            self.pending.queues.pop(number, None)
             if not ends_exchange(item) and not self.lost:
                 self.writer.put(Frame(number, CANCEL_KIND, None))
         if item is not END:
             raise item
 
     async def request(self, message: Any) -> Any:
-        """Ask a question that has one answer."""
+        """Send a request and return its only answer.
+
+        Raises:
+            ConnectionLost: the connection ended first, or there was no answer.
+            Refusal: the peer refused the request.
+        """
         answers = [answer async for answer in self.stream(message)]
         if not answers:
-            raise ConnectionLost('the peer gave no answer')
+            raise ConnectionLost('the peer ended the exchange without an answer')
         return answers[0]
 
 
 class Peer:
-    """A peer at a known address, connected again when needed."""
+    """A process at a known address; the connection to it is opened on demand.
+
+    Attributes:
+        incarnation: id of this start of the own process.
+        zone: availability zone of the own process.
+        epoch: number of connections opened so far.
+        connection: the latest connection; None before the first.
+        close_on_timeout: whether a request without an answer in time closes the
+            connection. For peers that answer every request quickly, so that a
+            timeout means that the connection is dead.
+    """
 
     def __init__(
         self,
@@ -210,7 +263,7 @@
         clock: Clock,
         tasks: TaskSet,
     ) -> None:
-        """Remember how to connect; nothing is opened yet."""
+        """Create a peer without connecting to it."""
         self.address = address
         self.network = network
         self.clock = clock
@@ -220,31 +273,34 @@
         self.epoch = 0
         self.lock = asyncio.Lock()
         self.connection: Connection | None = None
-        # Set where every question is answered soon, so that silence means
-        # that the connection is dead.
         self.close_on_timeout = False
 
     def identify(self, incarnation: str, zone: str) -> 'Peer':
-        """Set who this side is, for the greeting."""
+        """Set the own incarnation and zone, which `Hello` states; return self."""
         self.incarnation = incarnation
         self.zone = zone
         return self
 
     async def ensure_connected(self) -> Connection:
-        """Give the open connection, opening one when there is none.
+        """Return the open connection; open a new one if there is none.
 
         Raises:
-            ConnectionLost: the peer can't be reached within the timeout.
-            Refusal: the peer speaks another protocol version.
+            ConnectionLost: the peer can't be reached within CONNECT_TIMEOUT_MS.
+            Refusal: the peer uses another protocol version.
         """
         async with self.lock:
             if self.connection is None or self.connection.lost:
                 await self.close()
-                self.connection = await self.open()
+                self.connection = await self.connect()
             return self.connection
 
-    async def open(self) -> Connection:
-        """Open and greet within the connect timeout."""
+    async def connect(self) -> Connection:
+        """Open a connection with the next epoch and do the handshake.
+
+        Raises:
+            ConnectionLost: the peer can't be reached within CONNECT_TIMEOUT_MS.
+            Refusal: the peer uses another protocol version.
+        """
         self.epoch += 1
         hello = Hello(
             PROTOCOL_VERSION,
@@ -258,15 +314,15 @@
                 connection = Connection(channel, self.clock, self.tasks)
                 await connection.handshake(hello)
         except TimeoutError as error:
-            raise ConnectionLost(f'{self.address} does not answer') from error
+            raise ConnectionLost(f'connecting to {self.address} timed out') from error
         return connection
 
     async def request(self, message: Any, timeout_ms: float) -> Any:
-        """Ask a question that has one answer, within a time.
+        """Send a request, connecting first if needed, and return its only answer.
 
         Raises:
-            ConnectionLost: no answer in time, or the connection ended.
-            Refusal: the peer refused.
+            ConnectionLost: no answer within `timeout_ms`, or the connection ended.
+            Refusal: the peer refused the request.
         """
         try:
             async with self.clock.timeout_ms(timeout_ms):
@@ -274,16 +330,21 @@
                 return await connection.request(message)
         except TimeoutError as error:
             self.drop_unresponsive()
-            raise ConnectionLost(f'{self.address} is silent') from error
+            raise ConnectionLost(f'{self.address} did not answer in time') from error
 
     def drop_unresponsive(self) -> None:
-        """Give up a connection on which no answer came."""
+        """Close the connection after a timeout, if `close_on_timeout` is set."""
         if self.close_on_timeout and self.connection is not None:
             self.tasks.spawn(self.connection.close(), 'drop_silent')
             self.connection = None
 
     async def stream(self, message: Any) -> AsyncIterator[Any]:
-        """Ask a question and give its answers as they come."""
+        """Send a request, connecting first if needed, and yield its answers.
+
+        Raises:
+            ConnectionLost: the peer can't be reached, or the connection ended.
+            Refusal: the peer refused the request.
+        """
         connection = await self.ensure_connected()
         answers = connection.stream(message)
         try:
@@ -293,34 +354,43 @@
             await answers.aclose()
 
     async def close(self) -> None:
-        """Close what is open."""
+        """Close the connection, if there is one."""
         if self.connection is not None:
             await self.connection.close()
 
 
 class RequestTasks:
-    """The tasks that answer the open questions of one channel."""
+    """The tasks that answer the requests of one channel.
+
+    Attributes:
+        tasks: all tasks of the channel.
+        running: the tasks of unanswered requests by number of the exchange.
+    """
 
     def __init__(self, tasks: TaskSet) -> None:
-        """Run them in the channel's `tasks`."""
+        """Create an empty table whose tasks are spawned in `tasks`."""
         self.tasks = tasks
         self.running: dict[int, asyncio.Task[Any]] = {}
 
     def start(self, frame: Frame, answering: Coroutine[Any, Any, None]) -> None:
-        """Answer a question in a task of its own."""
+        """Start a task that answers the request in `frame`."""
         task = self.tasks.spawn(answering, f'answer_{frame.kind}')
         self.running[frame.exchange] = task
         task.add_done_callback(lambda _: self.running.pop(frame.exchange, None))
 
     def cancel(self, exchange: int) -> None:
-        """Stop answering a question, if it is still open."""
+        """Cancel the task of a request, if it is still running."""
         task = self.running.pop(exchange, None)
         if task is not None:
             task.cancel()
 
 
 class PeerServer:
-    """Answers the questions of every process that connects."""
+    """Answers the requests of all processes that connect.
+
+    Attributes:
+        channels: the open channels; a dict serves as an ordered set.
+    """
 
     def __init__(
         self,
@@ -329,7 +399,16 @@
         boot_id: str,
         window_ms: float = COALESCE_MS,
     ) -> None:
-        """Serve `handler`; `boot_id` names this start of the process."""
+        """Create a server that answers requests with `handler`.
+
+        Args:
+            clock: clock of the process.
+            handler: called for each request with the peer's `Hello` and the
+                request; yields the answers.
+            boot_id: id of this start of the process.
+            window_ms: maximum delay of tokens that wait for more frames to be
+                sent with them.
+        """
         self.clock = clock
         self.handler = handler
         self.boot_id = boot_id
@@ -337,7 +416,7 @@
         self.channels: dict[Channel, None] = {}
 
     async def serve(self, channel: Channel) -> None:
-        """Serve one channel until it ends."""
+        """Serve one channel until it ends, then cancel its tasks."""
         tasks = TaskSet()
         writer = FrameWriter(channel, self.clock, self.window_ms)
         self.channels[channel] = None
@@ -352,7 +431,7 @@
             await channel.close()
 
     async def write(self, writer: FrameWriter) -> None:
-        """Run the writer; the reader notices the end by itself."""
+        """Run the writer until the channel ends, which the reader also detects."""
         try:
             await writer.run()
         except ConnectionLost:
@@ -364,28 +443,40 @@
         writer: FrameWriter,
         tasks: TaskSet,
     ) -> None:
-        """Start a task for each question, stop it when it is cancelled."""
+        """Handle the handshake, requests and cancellations of a channel.
+
+        Raises:
+            ConnectionLost: the channel has ended.
+            Refusal: a frame is invalid, or the first one is not `Hello`.
+        """
         hello: Hello | None = None
-        questions = RequestTasks(tasks)
+        requests = RequestTasks(tasks)
         while True:
             for frame in decode_frames(await channel.receive()):
                 if hello is None:
-                    hello = self.welcome(frame, writer)
+                    hello = self.answer_hello(frame, writer)
                 elif frame.kind == CANCEL_KIND:
-                    questions.cancel(frame.exchange)
+                    requests.cancel(frame.exchange)
                 else:
                     answering = self.answer(hello, frame, writer)
-                    questions.start(frame, answering)
+                    requests.start(frame, answering)
+
+    def answer_hello(self, frame: Frame, writer: FrameWriter) -> Hello:
+        """Check the first frame of a channel, answer it and return its `Hello`.
 
-    def welcome(self, frame: Frame, writer: FrameWriter) -> Hello:
-        """Check the greeting and answer it."""
+        If the protocol versions differ, the answer is a refusal and the
+        incarnation is removed from the returned `Hello`.
+
+        Raises:
+            Refusal: the frame does not contain a `Hello`.
+        """
         hello = frame.body
         if not isinstance(hello, Hello):
-            raise Refusal(RefusalCode.PROTOCOL, 'no greeting')
+            raise Refusal(RefusalCode.PROTOCOL, 'the first message is not Hello')
         if hello.protocol != PROTOCOL_VERSION:
             refusal = Refusal(
                 RefusalCode.PROTOCOL,
-                f'protocol {hello.protocol} is not {PROTOCOL_VERSION}',
+                f'protocol version {hello.protocol}, expected {PROTOCOL_VERSION}',
             )
             self.reply(writer, frame, RefusalBody.from_refusal(refusal))
             return hello._replace(incarnation='')
@@ -394,7 +485,7 @@
         return hello
 
     def reply(self, writer: FrameWriter, frame: Frame, message: Any) -> None:
-        """Queue one message of an exchange."""
+        """Queue an answer to the request in `frame`."""
         writer.put(Frame(frame.exchange, type(message).__name__, message))
 
     async def answer(
@@ -403,7 +494,10 @@
         frame: Frame,
         writer: FrameWriter,
     ) -> None:
-        """Run the handler and send what it yields."""
+        """Run the handler for a request and send the answers that it yields.
+
+        Any error of the handler is sent as a refusal.
+        """
         if hello.protocol != PROTOCOL_VERSION:
             refusal = Refusal(RefusalCode.PROTOCOL, 'protocol version differs')
             self.reply(writer, frame, RefusalBody.from_refusal(refusal))
@@ -415,20 +509,24 @@
             self.reply(writer, frame, RefusalBody.from_refusal(as_refusal(error)))
             return
         except Exception as error:  # noqa: BLE001
-            # A defect must not leave the asker waiting for ever.
+            # Without an answer, the requesting process would wait forever.
             logger.opt(exception=error).error('handler_failed', kind=frame.kind)
             self.reply(writer, frame, RefusalBody.from_refusal(as_refusal(error)))
             return
         writer.put(Frame(frame.exchange, END_KIND, None))
 
     async def close(self) -> None:
-        """End all accepted channels."""
+        """Close all accepted channels."""
         for channel in list(self.channels):
             await channel.close()
 
 
 def as_refusal(error: Exception) -> Refusal:
-    """Describe any failure of a handler without claiming 'not run'."""
+    """Return the refusal for an error of a handler.
+
+    Errors other than refusals become one with an unknown outcome, as the call
+    may have run.
+    """
     if isinstance(error, Refusal):
         return error
     return Refusal(RefusalCode.OUTCOME_UNKNOWN, str(error), Outcome.UNKNOWN)
