--- a/pollenwalk/process/adoption.py
+++ b/pollenwalk/process/adoption.py
@@ -1,4 +1,4 @@
-"""Bringing a sealed home's programs into this entry's own journal."""
+"""Copies the programs of a sealed journal into this entry's own journal."""
 
 import msgspec
 from loguru import logger
@@ -17,11 +17,15 @@
 from pollenwalk.program.program import ProgramTable, snapshot_of
 from pollenwalk.program.records import Adopted, Claimed, Snapshot
 
-CHUNK_BYTES = 300_000
+MAX_COMMIT_BYTES = 300_000
 
 
 class Adoption:
-    """Takes over dead entries for one home."""
+    """Takes over dead entries for one owner.
+
+    Attributes:
+        adopted: incarnations whose programs are here.
+    """
 
     def __init__(
         self,
@@ -30,7 +34,7 @@
         store: ObjectStore,
         directory: Directory,
     ) -> None:
-        """Adopt into `home`."""
+        """Adopt programs into `owner`."""
         self.owner = owner
         self.takeover = takeover
         self.store = store
@@ -38,53 +42,61 @@
         self.adopted: dict[str, None] = {}
 
     async def take_over(self, dead: str) -> bool:
-        """Take over a dead entry if its seal is or becomes ours.
+        """Take over a dead entry unless another successor has.
 
         Returns:
             Whether its programs are here now.
 
         Raises:
             StoreUnavailable: the store does not answer; try again later.
-            Fenced: this home has itself been sealed.
+            Fenced: this entry's own journal has been sealed.
         """
         if dead not in self.adopted:
             owner_id = await self.takeover.claim_ownership(dead)
             if owner_id != self.takeover.successor:
                 return False
-            await self.adopt_and_name(dead)
-        await self.name_successor(dead)
+            await self.adopt_and_record_successor(dead)
+        await self.record_successor(dead)
         return True
 
-    async def adopt_and_name(self, dead: str) -> None:
-        """Adopt; until the successor is named no segment may be deleted.
+    async def adopt_and_record_successor(self, dead: str) -> None:
+        """Adopt the programs with compaction suspended.
 
-        Other entries look into our journal to see whether we have adopted.
+        Until the dead entry's record names its successor, other entries read
+        this entry's journal to find out whether it has adopted, so no segment
+        may be deleted.
         """
-        self.owner.adopting += 1
+        self.owner.adoptions_in_progress += 1
         try:
             await self.adopt(dead)
-            await self.name_successor(dead)
+            await self.record_successor(dead)
         finally:
-            self.owner.adopting -= 1
+            self.owner.adoptions_in_progress -= 1
 
     async def adopt(self, dead: str) -> None:
-        """Copy all programs, then make the copy count."""
+        """Copy a sealed journal's programs here and recover their intents.
+
+        Incarnations that the dead entry had adopted get this successor too.
+        """
         sealed = await self.takeover.read_sealed(dead)
         table = replay(sealed)
-        await self.copy(table, dead)
+        await self.commit_snapshots(table, dead)
         self.owner.table.merge(table)
         self.owner.recovery.recover(table.programs.values())
         inherited = adopted_incarnations(sealed)
         self.adopted.update(dict.fromkeys([dead, *sorted(inherited)]))
         logger.info('entry_adopted', dead=dead, programs=len(table.programs))
         for incarnation in sorted(inherited):
-            await self.name_successor(incarnation)
+            await self.record_successor(incarnation)
         await self.delete_segments(dead, sealed.content)
 
-    async def copy(self, table: ProgramTable, dead: str) -> None:
-        """Commit all programs and settled keys, then make them count."""
+    async def commit_snapshots(self, table: ProgramTable, dead: str) -> None:
+        """Commit snapshots of all programs, then the claims and `Adopted`.
+
+        The snapshots take effect only with the `Adopted` record.
+        """
         journal = self.owner.context.recorder.journal
-        for chunk in chunks(table, dead):
+        for chunk in snapshot_chunks(table, dead):
             await journal.commit(chunk)
         claims = [
             Claimed(caller, key, program)
@@ -92,34 +104,45 @@
         ]
         await journal.commit([*claims, Adopted(dead)])
 
-    async def name_successor(self, dead: str) -> None:
-        """Write into a dead entry's record who has its programs."""
+    async def record_successor(self, dead: str) -> None:
+        """Write the successor into a dead entry's record, with retries."""
         backoff = Backoff(self.owner.context.clock)
-        while not await self.successor_named(dead):
+        while not await self.try_record_successor(dead):
             await backoff.pause()
 
-    async def successor_named(self, dead: str) -> bool:
-        """Try once to write the successor."""
+    async def try_record_successor(self, dead: str) -> bool:
+        """Try once to write the successor.
+
+        Returns:
+            Whether the record names a successor now, or does not exist.
+        """
         try:
             stored = await self.store.get(record_key(dead))
             if stored is not None:
-                self.directory.take(await self.with_successor(stored))
+                self.directory.apply(await self.write_successor(stored))
         except (StoreConflict, StoreUnavailable):
             return False
         return True
 
-    async def with_successor(self, stored: StoredObject) -> StoredObject:
-        """Write the successor into a record that names none yet."""
+    async def write_successor(self, stored: StoredObject) -> StoredObject:
+        """Write the successor into a record unless it names one already.
+
+        Returns:
+            The record as stored now.
+        """
         record = decode_record(stored.body)
         if record.successor:
             return stored
-        named = record._replace(successor=self.takeover.successor)
-        body = encode_record(named)
+        updated = record._replace(successor=self.takeover.successor)
+        body = encode_record(updated)
         version = await self.store.put(stored.key, body, stored.version)
         return stored._replace(body=body, version=version)
 
     async def delete_segments(self, dead: str, content: JournalContent) -> None:
-        """Delete a dead journal but for its seals, which fence for ever."""
+        """Delete a dead journal's segments except its seals.
+
+        The seals stay for ever, as they fence the old owner.
+        """
         for number, segment in sorted(content.segments.items()):
             if segment.sealed_by:
                 return
@@ -129,16 +152,23 @@
                 return
 
 
-def chunks(table: ProgramTable, origin: str) -> list[list[Snapshot]]:
-    """Split a table into commits of bounded size."""
-    context: list[list[Snapshot]] = [[]]
+def snapshot_chunks(table: ProgramTable, origin: str) -> list[list[Snapshot]]:
+    """Split a table's programs into commits of at most `MAX_COMMIT_BYTES`.
+
+    A commit has at least one program, however large.
+
+    Args:
+        table: the programs.
+        origin: the incarnation that they are adopted from.
+    """
+    commits: list[list[Snapshot]] = [[]]
     size = 0
     for program in table.programs.values():
         snapshot = snapshot_of(program, origin)
-        weight = len(msgspec.msgpack.encode(snapshot))
-        if context[-1] and size + weight > CHUNK_BYTES:
-            context.append([])
+        snapshot_bytes = len(msgspec.msgpack.encode(snapshot))
+        if commits[-1] and size + snapshot_bytes > MAX_COMMIT_BYTES:
+            commits.append([])
             size = 0
-        context[-1].append(snapshot)
-        size += weight
-    return [part for part in context if part]
+        commits[-1].append(snapshot)
+        size += snapshot_bytes
+    return [commit for commit in commits if commit]
--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -1,4 +1,4 @@
-"""An entry: takes callers' requests and is home to a share of the programs."""
+"""An entry: serves callers' requests and owns a share of the programs."""
 
 import random
 from typing import Any, NamedTuple
@@ -27,22 +27,22 @@
     record_key,
     rendezvous,
 )
+from pollenwalk.process.entry_monitor import EntryMonitor
 from pollenwalk.process.entry_service import EntryService
 from pollenwalk.process.fleet import Fleet, Location
 from pollenwalk.process.host_list import HostList, poll_host_list
 from pollenwalk.process.journal import Journal
-from pollenwalk.process.liveness import LOOK_MS, OBSERVERS, Liveness
-from pollenwalk.process.neighbours import Neighbours
-from pollenwalk.process.pacing import Pace
+from pollenwalk.process.liveness import CHECK_INTERVAL_MS, OBSERVERS, Liveness
 from pollenwalk.process.peers import Peers
 from pollenwalk.process.program_owner import ProgramOwner
 from pollenwalk.process.recorder import Recorder
+from pollenwalk.process.report_targets import ReportTargets
 from pollenwalk.process.store import ObjectStore, create_once
-from pollenwalk.process.subsets import Subsets
 from pollenwalk.process.takeover import Takeover
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.process.traces import Tracer
 from pollenwalk.process.witness import WitnessLog
+from pollenwalk.process.write_limiter import WriteLimiter
 from pollenwalk.program.program import ProgramTable
 from pollenwalk.request.entry_context import EntryContext
 from pollenwalk.request.retry import RetryBudgets
@@ -51,24 +51,24 @@
 from pollenwalk.version.resources import Kind, ResourceId
 
 ID_BITS = 48
-HANDOVER_PATIENCE_MS = 10_000
+HANDOVER_DEADLINE_MS = 10_000
 HANDOVER_GRACE_MS = 150
-DRAIN_CHECK_MS = 20
-DRAIN_PATIENCE_MS = 120_000
-JUDGE = 'judge'
+POLL_MS = 20
+DRAIN_TIMEOUT_MS = 120_000
+ACCEPTANCE_KEY = 'judge'
 
 
 class EntrySettings(NamedTuple):
-    """Where an entry runs.
+    """The settings of an entry.
 
     Attributes:
-        address: `ip:port` for peers, TCP and UDP.
+        address: `ip:port` where peers reach it, by TCP and UDP.
         zone: its availability zone.
         regions: the region of each zone.
-        witnesses: how many other entries hold its batches; fewer than that
-            many other entries alive means none.
-        journal_interval_ms: shortest time between two segments.
-        store_writes_per_second: of all entries together.
+        witnesses: how many other entries keep copies of its journal batches;
+            none do while fewer than that many other entries are usable.
+        journal_interval_ms: minimum time between two journal segments.
+        store_writes_per_second: write budget of all entries together.
     """
 
     address: str
@@ -80,7 +80,7 @@
 
 
 class Entry:
-    """One start of an entry."""
+    """An entry, which continues as a new incarnation after a takeover."""
 
     def __init__(
         self,
@@ -93,7 +93,7 @@
         placement: Placement | None = None,
         hosts: HostList | None = None,
     ) -> None:
-        """Put the parts together; nothing is started yet."""
+        """Create the components; `start` starts them."""
         self.settings = settings
         self.network = network
         self.store = store
@@ -106,33 +106,33 @@
         self.config = Configuration()
         self.acceptance = AcceptanceController(store, clock, self.config)
         self.fleet = Fleet(clock, settings.regions)
-        self.config.on_accept = self.accepted
+        self.config.on_accept = self.push_upstream_config
         self.peers = Peers(network, clock, self.tasks)
         self.directory = Directory(store, clock)
-        self.subsets = Subsets(self.directory, settings.regions)
+        self.report_targets = ReportTargets(self.directory, settings.regions)
         self.liveness = Liveness(self.directory, network, clock)
         self.witness_log = WitnessLog()
         self.retries = RetryBudgets()
         self.listeners: list[Listener] = []
-        self.neighbours = Neighbours(self)
+        self.entry_monitor = EntryMonitor(self)
         self.ready = False
         self.stopping = False
         self.owner_tasks = TaskSet()
-        self.incarnate()
+        self.start_incarnation()
 
     async def take_over(self, dead: str) -> bool:
-        """Take a dead entry over; a silent store puts it off."""
-        return await self.neighbours.take_over(dead)
+        """Take over a dead entry, and return whether its programs are here now."""
+        return await self.entry_monitor.take_over(dead)
 
     @property
     def location(self) -> Location:
-        """Give where this entry is."""
+        """Return this entry's zone and region."""
         zone = self.settings.zone
         return Location(zone, self.settings.regions.get(zone, ''))
 
     @property
-    def own(self) -> EntryRecord:
-        """Give this entry's record as written at its start."""
+    def own_record(self) -> EntryRecord:
+        """Return this entry's record as it is written at registration."""
         return EntryRecord(
             self.incarnation,
             self.settings.address,
@@ -141,8 +141,8 @@
             self.started_ms,
         )
 
-    def incarnate(self) -> None:
-        """Begin a new incarnation with no programs."""
+    def start_incarnation(self) -> None:
+        """Create the components of a new incarnation, which owns no programs."""
         self.incarnation = f'{self.rng.getrandbits(ID_BITS):012x}'
         self.started_ms = self.clock.wall_ms()
         self.peers.identify(self.incarnation, self.settings.zone)
@@ -153,14 +153,14 @@
             self.incarnation,
             self.rng,
         )
-        self.journal.interval_ms = self.settings.journal_interval_ms
-        self.journal.pace = Pace(
+        self.journal.min_interval_ms = self.settings.journal_interval_ms
+        self.journal.write_limiter = WriteLimiter(
             self.clock,
             self.settings.store_writes_per_second,
-            lambda: len(self.directory.live()),
+            lambda: len(self.directory.live_entries()),
         )
         self.journal.peers = self.peers.at
-        self.journal.on_fenced = self.fenced
+        self.journal.on_fenced = self.leave_to_successor
         table = ProgramTable()
         recorder = Recorder(self.journal, table, self.clock, self.owner_tasks)
         context = EntryContext(
@@ -197,88 +197,101 @@
         self.server = PeerServer(self.clock, self.service.handle, self.incarnation)
 
     async def start(self) -> None:
-        """Listen, register and begin to work."""
+        """Start the listeners and the background tasks, registration included."""
         address = self.settings.address
         self.listeners = [
             await self.network.listen(address, self.serve),
-            await self.network.bind(address, self.datagram),
+            await self.network.bind(address, self.handle_datagram),
         ]
         self.tasks.spawn(self.directory.follow(), 'directory')
         self.tasks.spawn(self.acceptance.follow_statuses(), 'verdicts')
         self.tasks.spawn(self.acceptance.follow_desired_resources(), 'wishes')
         self.tasks.spawn(
-            self.acceptance.evaluate_desired_resources(self.judges), 'judge'
+            self.acceptance.evaluate_desired_resources(self.decides_acceptance), 'judge'
         )
-        self.tasks.spawn(self.neighbours.watch_entries(), 'liveness')
+        self.tasks.spawn(self.entry_monitor.watch_entries(), 'liveness')
         self.tasks.spawn(self.register(), 'register')
         if self.hosts is not None:
             following = poll_host_list(self.hosts, self.fleet, self.clock)
             self.tasks.spawn(following, 'hosts')
 
     async def serve(self, channel: Any) -> None:
-        """Serve a peer's channel under the present incarnation."""
+        """Serve a peer's channel as the current incarnation."""
         await self.server.serve(channel)
 
     async def register(self) -> None:
-        """Write this incarnation's record, then be home to programs."""
-        own = self.own
-        key = record_key(own.incarnation)
-        await create_once(self.store, self.clock, key, encode_record(own))
-        while own.incarnation not in self.directory.records:
+        """Write this incarnation's record, then start to own programs.
+
+        Waits until the record has been read back and the configuration has
+        been read once.
+        """
+        own_record = self.own_record
+        key = record_key(own_record.incarnation)
+        await create_once(self.store, self.clock, key, encode_record(own_record))
+        while own_record.incarnation not in self.directory.records:
             await self.try_refresh()
         while not self.acceptance.synced:
-            await self.clock.sleep_ms(DRAIN_CHECK_MS)
+            await self.clock.sleep_ms(POLL_MS)
         self.journal.start()
         self.compaction.start()
         self.owner.start()
         self.ready = True
-        logger.info('entry_ready', incarnation=own.incarnation)
+        logger.info('entry_ready', incarnation=own_record.incarnation)
 
     async def try_refresh(self) -> None:
-        """Read the directory once; a silent store is asked again later."""
+        """Read the directory once; if the store does not answer, pause."""
         try:
             await self.directory.refresh()
         except StoreUnavailable:
-            await self.clock.sleep_ms(LOOK_MS)
+            await self.clock.sleep_ms(CHECK_INTERVAL_MS)
+
+    def leave_to_successor(self) -> None:
+        """Refuse open calls after a takeover.
 
-    def fenced(self) -> None:
-        """Go on as a new incarnation: a successor has our programs."""
+        Unless the entry is stopping, it restarts as a new incarnation.
+        """
         self.ready = False
-        self.owner.abandon()
+        self.owner.refuse_open_calls()
         if not self.stopping:
-            self.tasks.spawn(self.reincarnate(), 'reincarnate')
+            self.tasks.spawn(self.restart_incarnation(), 'reincarnate')
 
-    async def reincarnate(self) -> None:
-        """Leave the old programs to their successor and register anew."""
+    async def restart_incarnation(self) -> None:
+        """Close the old incarnation and register a new one without programs."""
         old_tasks = self.owner_tasks
         self.owner_tasks = TaskSet()
         await self.server.close()
-        self.incarnate()
+        self.start_incarnation()
         await self.register()
         await old_tasks.cancel()
 
-    def judges(self) -> bool:
-        """Tell whether this entry is the one that judges wishes."""
-        names = [record.incarnation for record in self.directory.live()]
-        ranked = rendezvous(JUDGE, names)
+    def decides_acceptance(self) -> bool:
+        """Return whether this entry decides which desired resources are accepted."""
+        names = [record.incarnation for record in self.directory.live_entries()]
+        ranked = rendezvous(ACCEPTANCE_KEY, names)
         return bool(ranked) and ranked[0] == self.incarnation
 
-    def datagram(self, payload: bytes, sender: str) -> None:
-        """Take a report or a heartbeat; noise is dropped."""
+    def handle_datagram(self, payload: bytes, sender: str) -> None:
+        """Process a sidecar's report or an entry's heartbeat.
+
+        Datagrams that can't be decoded are dropped.
+        """
         try:
             message = decode_datagram(payload)
         except Refusal as refusal:
             logger.debug('datagram_dropped', sender=sender, reason=refusal.message)
             return
         if isinstance(message, Beat):
-            self.liveness.heard(message.incarnation)
+            self.liveness.record_alive(message.incarnation)
         elif isinstance(message, Report):
             self.fleet.record_report(message)
-            self.reply(message)
+            self.reply_to_report(message)
 
-    def reply(self, report: Report) -> None:
-        """Tell a sidecar which entries there are and what is in force."""
-        entries = self.subsets.entries(report, len(self.fleet.hosts))
+    def reply_to_report(self, report: Report) -> None:
+        """Send a sidecar the entries to report to and its configuration.
+
+        Each is sent only if it differs from what the report says.
+        """
+        entries = self.report_targets.entries_for(report, len(self.fleet.hosts))
         self.fleet.report_interval_ms = entries.interval_ms
         if entries.digest != report.digest and entries.addresses:
             self.send(report.address, entries)
@@ -293,10 +306,10 @@
                 UpstreamConfig(accepted.name, accepted.version, accepted.spec),
             )
 
-    def accepted(self, accepted: Accepted) -> None:
-        """Send a newer declaration to its upstream's hosts at once.
+    def push_upstream_config(self, accepted: Accepted) -> None:
+        """Send an upstream's accepted configuration to its sidecars.
 
-        A lost datagram is made up for by the next report.
+        If the datagram is lost, the reply to the next report repeats it.
         """
         if accepted.kind != Kind.UPSTREAM or accepted.spec is None:
             return
@@ -306,41 +319,49 @@
                 self.send(host.report.address, message)
 
     def send(self, address: str, message: Any) -> None:
-        """Send a datagram."""
+        """Send a message as a datagram."""
         payload = encode_datagram(message)
         self.network.send_datagram(self.settings.address, address, payload)
 
     async def stop(self) -> None:
-        """Stop gracefully: hand the programs over, finish what is open."""
+        """Hand the programs over, wait for open requests, and close.
+
+        Open requests are waited for at most `DRAIN_TIMEOUT_MS`.
+        """
         self.stopping = True
         await self.hand_over()
-        until_ms = self.clock.now_ms() + DRAIN_PATIENCE_MS
+        until_ms = self.clock.now_ms() + DRAIN_TIMEOUT_MS
         while self.routing.open_requests and self.clock.now_ms() < until_ms:
-            await self.clock.sleep_ms(DRAIN_CHECK_MS)
+            await self.clock.sleep_ms(POLL_MS)
         await self.close()
 
     async def hand_over(self) -> None:
-        """Let another entry take over now, running calls included."""
+        """Ask another entry to take over the programs, running calls included.
+
+        If none does within `HANDOVER_DEADLINE_MS`, or there is none, this
+        entry keeps its programs and refuses new calls.
+        """
         if not self.ready or self.journal.fenced:
             return
         if self.directory.observers(self.incarnation, 1):
-            # What is under way shall arrive before the successor begins.
-            self.journal.closing = True
+            # Calls already dispatched should reach their sidecars before the
+            # successor starts.
+            self.journal.handing_over = True
             await self.clock.sleep_ms(HANDOVER_GRACE_MS)
-        until_ms = self.clock.now_ms() + HANDOVER_PATIENCE_MS
+        until_ms = self.clock.now_ms() + HANDOVER_DEADLINE_MS
         while self.clock.now_ms() < until_ms:
             others = self.directory.observers(self.incarnation, OBSERVERS)
             if not others:
                 break
             for other in others:
-                if await self.service.ask_handover(other):
+                if await self.service.request_handover(other):
                     return
-            await self.clock.sleep_ms(LOOK_MS)
-        self.journal.closing = False
+            await self.clock.sleep_ms(CHECK_INTERVAL_MS)
+        self.journal.handing_over = False
         self.owner.stopping = True
 
     async def close(self) -> None:
-        """End everything at once."""
+        """Cancel all tasks and close all connections at once."""
         self.ready = False
         await self.owner_tasks.cancel()
         await self.tasks.cancel()
--- a/pollenwalk/process/journal.py
+++ b/pollenwalk/process/journal.py
@@ -1,8 +1,8 @@
-"""A home's journal: group commits into the store, ended by a seal.
+"""An owner's journal: group commits into the object store, ended by a seal.
 
-Each segment is a conditional create of the next number, so a sealed home
-loses its next commit and learns that it has a successor. Nothing here reads
-a clock to decide who may write.
+Each segment is written by a conditional create of the next number, so once a
+successor has written its seal there, the next commit fails and the owner
+learns that it is fenced. Who may write never depends on a clock.
 """
 
 import asyncio
@@ -14,7 +14,6 @@
 from pollenwalk.connection.wire import WitnessAppend
 from pollenwalk.errors import Fenced, StoreUnavailable
 from pollenwalk.process.clock import Clock
-from pollenwalk.process.pacing import Pace
 from pollenwalk.process.segments import (
     Segment,
     WitnessRef,
@@ -29,38 +28,65 @@
 )
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.process.witness import PeerSource, WitnessLink
+from pollenwalk.process.write_limiter import WriteLimiter
 from pollenwalk.program.records import Record, encode_records
 
 MAX_SEGMENT_BYTES = 600_000
-STALL_MS = 1500
-FRESH_MS = 1000
+STALL_TIMEOUT_MS = 1500
+RECENT_CONFIRMATION_MS = 1000
 WITNESS_RETRY_MS = 200
 
 
 class Batch:
-    """Records that become durable together."""
+    """Records that become durable together.
+
+    Attributes:
+        number: its place in the journal, counted from 1.
+        body: the encoded records.
+        opened_ms: when its first record was appended, on the process's clock.
+        durable: done once the batch is durable; fails if it never will be.
+    """
 
     def __init__(self, number: int, body: bytes, opened_ms: float) -> None:
-        """Hold an encoded batch that waits to become durable."""
+        """Create a batch that is not yet durable."""
         self.number = number
         self.body = body
         self.opened_ms = opened_ms
         self.durable: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
-    def settle(self) -> None:
+    def mark_durable(self) -> None:
         """Mark the batch durable."""
         if not self.durable.done():
             self.durable.set_result(None)
 
     def fail(self) -> None:
-        """Mark the batch as lost to a successor."""
+        """Fail the batch: a successor has sealed the journal."""
         if not self.durable.done():
             self.durable.set_exception(Fenced('sealed by a successor'))
             self.durable.exception()
 
 
 class Journal:
-    """Appends records and tells when they are durable."""
+    """Appends records and waits until they are durable.
+
+    Attributes:
+        min_interval_ms: pause after each segment before the next is written.
+        write_limiter: limits the writes to the store; None for no limit.
+        next_segment: number of the next segment.
+        next_batch: number of the next batch.
+        last_stored_batch: number of the last batch in the store.
+        pending: batches that the store has not confirmed.
+        fenced: whether a successor has sealed this journal.
+        handing_over: whether the owner is about to ask for a takeover, so no
+            call should be dispatched.
+        confirmed_ms: when the newest durable batch was opened; no successor
+            had sealed the journal before that.
+        desired_witnesses: to be named by the next segment.
+        effective_witnesses: named by the last segment in the store.
+        proposed_witnesses: named by the segment that is being written.
+        on_fenced: called once when the journal is found sealed.
+        peers: gives the peer at an address; None for no witnesses.
+    """
 
     def __init__(
         self,
@@ -70,39 +96,39 @@
         incarnation: str,
         rng: random.Random,
     ) -> None:
-        """Prepare the journal of a fresh incarnation."""
+        """Create the empty journal of a new incarnation."""
         self.rng = rng
         self.store = store
         self.clock = clock
         self.tasks = tasks
         self.incarnation = incarnation
-        self.interval_ms = 0.0
-        self.pace: Pace | None = None
+        self.min_interval_ms = 0.0
+        self.write_limiter: WriteLimiter | None = None
         self.next_segment = 1
         self.next_batch = 1
-        self.base = 0
+        self.last_stored_batch = 0
         self.open_records: list[Record] = []
         self.open_batch: Batch | None = None
         self.pending: list[Batch] = []
-        self.work = asyncio.Event()
-        self.witnessing = asyncio.Event()
+        self.work_available = asyncio.Event()
+        self.batch_available = asyncio.Event()
         self.fenced = False
-        self.closing = False
+        self.handing_over = False
         self.confirmed_ms = float('-inf')
-        self.wanted: list[WitnessRef] = []
-        self.effective: list[WitnessRef] = []
-        self.proposed: list[WitnessRef] = []
-        self.links: dict[WitnessRef, WitnessLink] = {}
+        self.desired_witnesses: list[WitnessRef] = []
+        self.effective_witnesses: list[WitnessRef] = []
+        self.proposed_witnesses: list[WitnessRef] = []
+        self.witness_links: dict[WitnessRef, WitnessLink] = {}
         self.on_fenced: Callable[[], None] = lambda: None
         self.peers: PeerSource | None = None
         self.segments_written = 0
 
     def start(self) -> None:
-        """Begin writing."""
+        """Start to write segments."""
         self.tasks.spawn(self.write_segments(), 'journal_segments')
 
     async def commit(self, records: list[Record]) -> None:
-        """Append records and wait until they are durable.
+        """Append records to the open batch and wait until it is durable.
 
         Raises:
             Fenced: a successor has sealed this journal.
@@ -116,24 +142,24 @@
         await asyncio.shield(self.open_batch.durable)
 
     async def confirm(self) -> None:
-        """Prove that no successor has sealed this journal until now.
+        """Prove by an empty commit that no successor has sealed this journal.
 
         Raises:
-            Fenced: one has.
+            Fenced: a successor has.
         """
         await self.commit([])
 
     @property
-    def fresh(self) -> bool:
-        """Tell whether the last proof is younger than any takeover can be.
+    def recently_confirmed(self) -> bool:
+        """Return whether the last proof is so recent that a takeover is unlikely.
 
-        This rests on the clock and so guards nothing that must not happen:
-        only that an outdated home seldom repeats what may be repeated.
+        This relies on the clock, so safety must not depend on it. It only
+        makes it rare that a fenced owner runs an idempotent call again.
         """
-        return self.clock.now_ms() - self.confirmed_ms < FRESH_MS
+        return self.clock.now_ms() - self.confirmed_ms < RECENT_CONFIRMATION_MS
 
     def close_batch(self) -> None:
-        """Number the open batch and offer it to the store and witnesses."""
+        """Number and encode the open batch and pass it to store and witnesses."""
         batch = self.open_batch
         if batch is None:
             return
@@ -146,34 +172,36 @@
             batch.fail()
             return
         self.pending.append(batch)
-        self.work.set()
-        self.witnessing.set()
+        self.work_available.set()
+        self.batch_available.set()
 
     @property
     def stalled(self) -> bool:
-        """Tell whether a batch has waited too long to become durable."""
-        oldest = next((one for one in self.pending if not one.durable.done()), None)
+        """Return whether a batch has waited `STALL_TIMEOUT_MS` to be durable."""
+        oldest = next(
+            (batch for batch in self.pending if not batch.durable.done()), None
+        )
         if oldest is None:
             return False
-        return self.clock.now_ms() - oldest.opened_ms > STALL_MS
+        return self.clock.now_ms() - oldest.opened_ms > STALL_TIMEOUT_MS
 
     async def write_segments(self) -> None:
-        """Write what is pending, one segment after the other."""
+        """Write pending batches, one segment at a time, until fenced."""
         while not self.fenced:
-            await self.work.wait()
-            self.work.clear()
-            while not self.fenced and self.has_work():
-                if self.pace is not None:
-                    await self.pace.turn()
-                await self.write_segment(list(self.fitting()))
-                await self.clock.sleep_ms(self.interval_ms)
-
-    def has_work(self) -> bool:
-        """Tell whether a segment is due."""
-        return bool(self.pending) or self.wanted != self.effective
-
-    def fitting(self) -> Iterable[Batch]:
-        """Give pending batches up to a segment's size, at least one."""
+            await self.work_available.wait()
+            self.work_available.clear()
+            while not self.fenced and self.segment_due():
+                if self.write_limiter is not None:
+                    await self.write_limiter.acquire()
+                await self.write_segment(list(self.next_segment_batches()))
+                await self.clock.sleep_ms(self.min_interval_ms)
+
+    def segment_due(self) -> bool:
+        """Return whether there are batches or new witnesses to write."""
+        return bool(self.pending) or self.desired_witnesses != self.effective_witnesses
+
+    def next_segment_batches(self) -> Iterable[Batch]:
+        """Yield pending batches up to `MAX_SEGMENT_BYTES`, but at least one."""
         size = 0
         for batch in self.pending:
             size += len(batch.body)
@@ -182,56 +210,69 @@
             yield batch
 
     async def write_segment(self, batches: list[Batch]) -> None:
-        """Create the next segment, however often its answer is lost."""
-        self.proposed = list(self.wanted)
+        """Write the next segment, retrying while the store does not answer.
+
+        If a successor's seal is found in its place, the journal is fenced.
+        """
+        self.proposed_witnesses = list(self.desired_witnesses)
         segment = Segment(
             make_nonce(self.rng),
-            self.base + 1,
+            self.last_stored_batch + 1,
             [batch.body for batch in batches],
-            self.proposed,
+            self.proposed_witnesses,
         )
         key = segment_key(self.incarnation, self.next_segment)
         body = encode_segment(segment)
-        if await self.create(key, body):
-            self.stored(batches)
+        if await self.create_segment(key, body):
+            self.segment_written(batches)
         else:
             self.fence()
 
-    async def create(self, key: str, body: bytes) -> bool:
-        """Create a segment; tell whether it is ours."""
+    async def create_segment(self, key: str, body: bytes) -> bool:
+        """Create a segment, retrying with back-off.
+
+        Returns:
+            Whether the stored segment is this one; False for another's seal.
+        """
         backoff = Backoff(self.clock)
         while True:
-            begun_ms = self.clock.now_ms()
+            started_ms = self.clock.now_ms()
             try:
-                ours = await create_or_compare(self.store, key, body)
+                created = await create_or_compare(self.store, key, body)
             except StoreUnavailable:
-                self.note_pace(None)
+                self.adjust_write_limit(None)
                 await backoff.pause()
                 continue
-            self.note_pace(self.clock.now_ms() - begun_ms)
-            return ours
+            self.adjust_write_limit(self.clock.now_ms() - started_ms)
+            return created
 
-    def note_pace(self, took_ms: float | None) -> None:
-        """Let the pace follow the store."""
-        if self.pace is None:
+    def adjust_write_limit(self, took_ms: float | None) -> None:
+        """Adapt the write limit to a write's duration.
+
+        Args:
+            took_ms: how long the write took; None if the store did not answer.
+        """
+        if self.write_limiter is None:
             return
         if took_ms is None:
-            self.pace.refused()
+            self.write_limiter.record_failure()
         else:
-            self.pace.answered(took_ms)
+            self.write_limiter.record_answer(took_ms)
 
-    def stored(self, batches: list[Batch]) -> None:
-        """Note a written segment."""
+    def segment_written(self, batches: list[Batch]) -> None:
+        """Update the state after a segment has been stored."""
         self.next_segment += 1
         self.segments_written += 1
-        self.base += len(batches)
-        self.pending = [one for one in self.pending if one.number > self.base]
-        self.effective = self.proposed
-        self.settle(batches)
-        self.link_witnesses()
+        self.last_stored_batch += len(batches)
+        self.pending = [
+            batch for batch in self.pending if batch.number > self.last_stored_batch
+        ]
+        self.effective_witnesses = self.proposed_witnesses
+        self.mark_durable(batches)
+        self.update_witness_links()
 
     def fence(self) -> None:
-        """Stop for good: a successor owns the programs now."""
+        """Stop for good and fail pending batches: a successor owns the programs."""
         if self.fenced:
             return
         self.fenced = True
@@ -239,62 +280,68 @@
         for batch in self.pending:
             batch.fail()
         self.pending = []
-        self.witnessing.set()
+        self.batch_available.set()
         self.on_fenced()
 
-    def want_witnesses(self, refs: list[WitnessRef]) -> None:
-        """Ask for another set of witnesses, from the next segment on."""
-        if refs != self.wanted:
-            self.wanted = refs
-            self.work.set()
+    def set_witnesses(self, refs: list[WitnessRef]) -> None:
+        """Set the witnesses that the next segment is to name."""
+        if refs != self.desired_witnesses:
+            self.desired_witnesses = refs
+            self.work_available.set()
 
     def failed_witnesses(self) -> list[WitnessRef]:
-        """Give the witnesses that can't acknowledge any more."""
-        return [ref for ref, link in self.links.items() if link.failed]
-
-    def link_witnesses(self) -> None:
-        """Start sending to new witnesses and stop sending to old ones."""
-        for ref in list(self.links):
-            if ref not in self.effective:
-                self.links.pop(ref)
+        """Return the witnesses that have restarted or refused batches."""
+        return [ref for ref, link in self.witness_links.items() if link.failed]
+
+    def update_witness_links(self) -> None:
+        """Start sending to new witnesses and stop sending to removed ones."""
+        for ref in list(self.witness_links):
+            if ref not in self.effective_witnesses:
+                self.witness_links.pop(ref)
         if self.peers is None:
             return
-        for ref in self.effective:
-            if ref not in self.links:
+        for ref in self.effective_witnesses:
+            if ref not in self.witness_links:
                 link = WitnessLink(ref, self.peers(ref.address))
-                self.links[ref] = link
-                self.tasks.spawn(self.feed(link), 'journal_witness')
+                self.witness_links[ref] = link
+                self.tasks.spawn(self.send_to_witness(link), 'journal_witness')
 
-    async def feed(self, link: WitnessLink) -> None:
-        """Send pending batches to one witness while it is one of ours."""
-        while self.links.get(link.ref) is link and not link.failed:
+    async def send_to_witness(self, link: WitnessLink) -> None:
+        """Send pending batches to one witness until it is removed or fails."""
+        while self.witness_links.get(link.ref) is link and not link.failed:
             batches = list(self.pending)
             if not batches or batches[-1].number <= link.acknowledged:
-                self.witnessing.clear()
-                await self.witnessing.wait()
+                self.batch_available.clear()
+                await self.batch_available.wait()
                 continue
             message = WitnessAppend(
                 self.incarnation,
-                self.base,
+                self.last_stored_batch,
                 batches[0].number,
                 [batch.body for batch in batches],
             )
             if await link.send(message):
-                self.acknowledge()
+                self.mark_acknowledged_durable()
             elif not link.failed:
                 await self.clock.sleep_ms(WITNESS_RETRY_MS)
 
-    def acknowledge(self) -> None:
-        """Settle the batches that every required witness holds."""
-        required = dict.fromkeys([*self.effective, *self.proposed])
-        links = [self.links.get(ref) for ref in required]
+    def mark_acknowledged_durable(self) -> None:
+        """Mark the batches durable that every required witness acknowledged.
+
+        Required are the witnesses of the last stored segment and those of the
+        segment being written, as a takeover may find either segment last.
+        """
+        required = dict.fromkeys([*self.effective_witnesses, *self.proposed_witnesses])
+        links = [self.witness_links.get(ref) for ref in required]
         if not links or not all(links):
             return
-        held = min(link.acknowledged for link in links if link is not None)
-        self.settle([batch for batch in self.pending if batch.number <= held])
+        acknowledged = min(link.acknowledged for link in links if link is not None)
+        self.mark_durable(
+            [batch for batch in self.pending if batch.number <= acknowledged]
+        )
 
-    def settle(self, batches: list[Batch]) -> None:
-        """Note batches that are durable."""
+    def mark_durable(self, batches: list[Batch]) -> None:
+        """Complete the batches' waits and advance `confirmed_ms`."""
         for batch in batches:
-            batch.settle()
+            batch.mark_durable()
             self.confirmed_ms = max(self.confirmed_ms, batch.opened_ms)
--- a/pollenwalk/process/program_owner.py
+++ b/pollenwalk/process/program_owner.py
@@ -1,7 +1,7 @@
-"""The programs whose home this process is.
+"""The owner of programs: orders and runs their calls and keeps their state.
 
-The home is the one place that orders a program's calls, accounts its budget
-and keeps its history and answers.
+Each program has exactly one owner at a time, the entry that orders its calls,
+accounts for its token budget and keeps its history and answers.
 """
 
 from collections.abc import AsyncIterator, Coroutine, Iterator
@@ -15,29 +15,30 @@
     RefusalCode,
     fenced_error,
 )
-from pollenwalk.process.beginnings import Beginnings
-from pollenwalk.process.ids import unknown_program
+from pollenwalk.process.maintenance import ProgramMaintenance
+from pollenwalk.process.program_creator import ProgramCreator
+from pollenwalk.process.program_ids import unknown_program
 from pollenwalk.process.recorder import store_unavailable
 from pollenwalk.process.recovery import Recovery
 from pollenwalk.process.tasks import TaskSet
-from pollenwalk.process.upkeep import Upkeep
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.program.program import FinishedCall, Program, ProgramTable
 from pollenwalk.program.records import Ended, Forfeited, Record
 from pollenwalk.request.call import LiveCall, check_request
 from pollenwalk.request.entry_context import EntryContext
-from pollenwalk.request.execution import Execution, doubted
+from pollenwalk.request.execution import Execution, with_unknown_outcome
 
-END_WAIT_MS = 2000
+END_COMMIT_TIMEOUT_MS = 2000
 RENEW_MS = 5000
 RELEASE_TIMEOUT_MS = 2000
 RELEASE_ATTEMPTS = 5
-STOP_CHECK_MS = 2000
+STOP_POLL_MS = 2000
 RETAIN_MS = 600_000
 RECOVERY_MS = 30_000
 RETRY_AFTER_MS = 1000
-CONFIRM_WAIT_MS = 1000
-ABOUT_FORM = frozenset(
+CONFIRM_TIMEOUT_MS = 1000
+# Refusals that concern the request alone, so they hold whoever owns the program.
+REQUEST_ERROR_CODES = frozenset(
     (
         RefusalCode.MALFORMED,
         RefusalCode.KEY_MISSING,
@@ -48,42 +49,51 @@
 
 
 class ProgramOwner:
-    """All programs of one incarnation."""
+    """The programs that one incarnation of an entry owns.
+
+    Attributes:
+        context: services that all calls share.
+        table: the durable state of the programs.
+        tasks: background tasks.
+        live: state of the programs that is not durable, by program id.
+        stopping: whether new programs and calls are refused.
+        adoptions_in_progress: how many takeovers are copying programs here.
+    """
 
     def __init__(
         self, context: EntryContext, table: ProgramTable, tasks: TaskSet
     ) -> None:
-        """Start with the programs in `table`."""
+        """Own the programs in `table`, without any running call."""
         self.context = context
         self.table = table
         self.tasks = tasks
         self.live: dict[str, LiveProgram] = {}
         self.stopping = False
-        self.adopting = 0
-        self.beginnings = Beginnings(self)
+        self.adoptions_in_progress = 0
+        self.program_creator = ProgramCreator(self)
         self.recovery = Recovery(self)
-        self.upkeep = Upkeep(self)
+        self.maintenance = ProgramMaintenance(self)
 
     def start(self) -> None:
-        """Start the background work."""
+        """Start the background tasks."""
         self.tasks.spawn(
             self.context.recorder.send_settlements(self.context.peers), 'settle'
         )
-        self.upkeep.start()
+        self.maintenance.start()
 
     def release(self, program: Program) -> Coroutine[Any, Any, None]:
-        """Ask every sidecar that holds a program's memory to return it."""
-        return self.upkeep.release(program)
+        """Ask every sidecar that holds engine memory for a program to free it."""
+        return self.maintenance.release(program)
 
     def drop_claims(self) -> None:
-        """Forget keys whose retention has passed."""
-        self.beginnings.drop_claims()
+        """Remove key claims that are older than their retention period."""
+        self.program_creator.drop_claims()
 
     def find(self, program_id: str) -> LiveProgram:
-        """Give a program of this home.
+        """Return the live state of a program, creating that state if needed.
 
         Raises:
-            Refusal: there is no such program.
+            Refusal: this entry does not own such a program.
         """
         program = self.table.programs.get(program_id)
         if program is None:
@@ -94,8 +104,13 @@
             self.live[program_id] = live
         return live
 
-    def check_open(self) -> None:
-        """Refuse new work while stopping or while nothing can be recorded."""
+    def check_accepts_work(self) -> None:
+        """Check that new programs and calls can be accepted.
+
+        Raises:
+            Refusal: the entry is stopping, or the store does not answer.
+            Fenced: a successor has sealed the journal.
+        """
         if self.stopping:
             raise Refusal(
                 RefusalCode.STOPPING,
@@ -108,59 +123,67 @@
             raise store_unavailable()
 
     async def call(self, request: CallProgram) -> AsyncIterator[Tokens | Answer]:
-        """Run a call, or attach to it, or replay its kept answer.
+        """Run a call, attach to it while it runs, or replay its kept answer.
 
         Yields:
-            Tokens as they come, and the answer last.
+            Tokens as they arrive, then the answer.
 
         Raises:
-            Refusal: with an outcome that tells whether the call ran.
-            Fenced: this home has a successor; ask there.
+            Refusal: its outcome says whether the call ran.
+            Fenced: a successor owns the program; retry there.
         """
         check_request(request)
         try:
-            async for item in self.answer(request):
+            async for item in self.follow_call(request):
                 yield item
         except Refusal as refusal:
-            if await self.vouches(refusal, request):
+            if await self.verify_not_run(refusal, request):
                 raise
-            raise doubted(refusal) from refusal
+            raise with_unknown_outcome(refusal) from refusal
 
-    async def vouches(self, refusal: Refusal, request: CallProgram) -> bool:
-        """Tell whether a refusal's 'not run' is surely true.
+    async def verify_not_run(self, refusal: Refusal, request: CallProgram) -> bool:
+        """Return whether a refusal's outcome can be passed on unchanged.
 
-        A successor may have run the very call that is refused here, or an
-        earlier try of a call that may be repeated may have run.
+        The outcome 'not run' needs proof: a successor may have run the call
+        that is refused here, or an earlier attempt of an idempotent call may
+        have run.
 
         Raises:
-            Fenced: this home has a successor; ask there.
+            Fenced: a successor owns the program; retry there.
         """
-        if refusal.outcome != Outcome.NOT_RUN or refusal.code in ABOUT_FORM:
+        if refusal.outcome != Outcome.NOT_RUN or refusal.code in REQUEST_ERROR_CODES:
             return True
         live = self.live.get(request.program)
         upstream = self.context.config.upstream(request.upstream)
-        repeatable = upstream is not None and (request.operation in upstream.idempotent)
-        if repeatable and live is not None and live.may_have_run(request):
+        idempotent = upstream is not None and (request.operation in upstream.idempotent)
+        if idempotent and live is not None and live.may_have_run(request):
             return False
-        return await self.confirmed()
+        return await self.confirm_ownership()
 
-    async def confirmed(self) -> bool:
-        """Tell whether this home surely still owns its programs.
+    async def confirm_ownership(self) -> bool:
+        """Return whether this entry has just proven that it owns its programs.
+
+        False means that neither the store nor the witnesses answered in time.
 
         Raises:
-            Fenced: this home has a successor; ask there.
+            Fenced: a successor owns the programs; retry there.
         """
         try:
-            await self.context.recorder.confirm_ownership(CONFIRM_WAIT_MS)
+            await self.context.recorder.confirm_ownership(CONFIRM_TIMEOUT_MS)
         except TimeoutError:
             return False
         return True
 
-    async def answer(self, request: CallProgram) -> AsyncIterator[Tokens | Answer]:
-        """Find or start a call and follow it to its end."""
+    async def follow_call(self, request: CallProgram) -> AsyncIterator[Tokens | Answer]:
+        """Find or start a call and yield its tokens and its answer.
+
+        Raises:
+            Refusal: the call was refused or failed.
+            Fenced: a successor owns the program.
+        """
         live = self.find(request.program)
         live.last_used_ms = self.context.clock.now_ms()
-        call = self.attach(live, request)
+        call = self.find_or_accept(live, request)
         if isinstance(call, FinishedCall):
             finished = call
             for tokens in replayed_tokens(finished, request.offset):
@@ -173,36 +196,41 @@
             raise finished.refusal.to_refusal()
         yield finished.answer
 
-    def attach(
+    def find_or_accept(
         self,
         live: LiveProgram,
         request: CallProgram,
     ) -> LiveCall | FinishedCall:
-        """Find the call of a key, or accept it as a new one."""
+        """Return the running or finished call of a key, or accept a new call.
+
+        Raises:
+            Refusal: the key was used for another request, or the new call
+                is not acceptable.
+        """
         call = LiveCall(request, self.context.clock)
         known = live.calls.get(request.key)
         finished = live.program.finished.get(request.key)
         if known is not None:
-            check_same(known.digest, known.request.sequence, call)
+            check_same_request(known.digest, known.request.sequence, call)
             return known
         if finished is not None:
-            check_same(finished.digest, finished.sequence, call)
+            check_same_request(finished.digest, finished.sequence, call)
             return finished
         self.accept(live, call)
         return call
 
     def accept(self, live: LiveProgram, call: LiveCall) -> None:
-        """Check a new call and start its task."""
-        self.check_open()
-        self.check_declared(live, call.request)
+        """Check a new call and start the task that runs it."""
+        self.check_accepts_work()
+        self.check_operation(live, call.request)
         live.admit(call.request)
         self.check_loops(live, call)
         key = call.request.key
         live.calls[key] = call
         live.tasks[key] = self.tasks.spawn(self.run(live, call), 'call')
 
-    def check_declared(self, live: LiveProgram, request: CallProgram) -> None:
-        """Check the upstream and the operation against the declarations."""
+    def check_operation(self, live: LiveProgram, request: CallProgram) -> None:
+        """Check that a call's upstream, operation and input are as declared."""
         spec = self.context.config.program(live.program.declaration)
         upstream = self.context.config.upstream(request.upstream)
         if spec is None or upstream is None or request.upstream not in spec.upstreams:
@@ -221,15 +249,15 @@
             check_chat(request.argument)
 
     def check_loops(self, live: LiveProgram, call: LiveCall) -> None:
-        """Stop a program that repeats itself or goes on without end."""
+        """Refuse a call beyond `max_calls` or repeated `loop_limit` times."""
         spec = self.context.config.program(live.program.declaration)
         if call.request.sequence > spec.max_calls:
             raise Refusal(
                 RefusalCode.LOOP_LIMIT,
-                f'a run may make {spec.max_calls} calls',
+                f'a program may make at most {spec.max_calls} calls',
             )
         recent = list(live.program.finished.values())[-spec.loop_limit :]
-        repeats = [one for one in recent if one.digest == call.digest]
+        repeats = [finished for finished in recent if finished.digest == call.digest]
         if len(repeats) >= spec.loop_limit:
             raise Refusal(
                 RefusalCode.LOOP_LIMIT,
@@ -237,51 +265,57 @@
             )
 
     async def run(self, live: LiveProgram, call: LiveCall) -> None:
-        """Run one call from its place in the order to its end."""
+        """Run a call to its end, once all earlier calls have ended."""
         try:
             await live.wait_for_predecessors(call)
             call.finish(await Execution(self.context, live, call).run())
         except PollenwalkError as error:
-            call.refuse(error)
+            call.fail(error)
         finally:
             if not call.done.done():
-                call.refuse(cancelled(call) if live.ending else fenced_error())
+                call.fail(cancelled_refusal(call) if live.ending else fenced_error())
             live.calls.pop(call.request.key, None)
             live.tasks.pop(call.request.key, None)
             live.last_used_ms = self.context.clock.now_ms()
             live.notify_waiting_calls()
 
-    def abandon(self) -> None:
-        """Let all calls go on at the successor: nothing counts here now."""
+    def refuse_open_calls(self) -> None:
+        """Refuse all open calls after a takeover, to be retried at the successor."""
         for live in self.live.values():
             for call in list(live.calls.values()):
-                call.refuse(fenced_error())
+                call.fail(fenced_error())
             for task in list(live.tasks.values()):
                 task.cancel()
 
     async def end(self, program_id: str) -> Program:
-        """End a program: cancel what may be cancelled, free its memory.
+        """End a program and its children, and free their engine memory.
+
+        Open calls are cancelled, except those with a recorded intent, which
+        are not idempotent and are waited for.
 
-        A non-idempotent call that runs is waited for.
+        Raises:
+            Refusal: there is no such program, or its end is not durable
+                within `END_COMMIT_TIMEOUT_MS`.
+            Fenced: a successor owns the program.
         """
         live = self.find(program_id)
         if live.program.ended:
             return live.program
         live.ending = True
         live.notify_waiting_calls()
-        for child in self.children(program_id):
+        for child in self.running_children(program_id):
             await self.end(child.id)
-        cut_short = any(call.running for call in live.calls.values())
+        was_running = any(call.running for call in live.calls.values())
         await self.stop_calls(live)
         records: list[Record] = [Ended(program_id)]
-        if cut_short:
+        if was_running:
             records.insert(0, Forfeited(program_id))
-        await self.context.recorder.record(live, lambda: records, END_WAIT_MS)
-        self.tasks.spawn(self.upkeep.release(live.program), 'release')
+        await self.context.recorder.record(live, lambda: records, END_COMMIT_TIMEOUT_MS)
+        self.tasks.spawn(self.maintenance.release(live.program), 'release')
         return live.program
 
-    def children(self, program_id: str) -> list[Program]:
-        """Give the sub-agents of a program that still run."""
+    def running_children(self, program_id: str) -> list[Program]:
+        """Return the child programs that have not ended."""
         return [
             program
             for program in self.table.programs.values()
@@ -289,23 +323,23 @@
         ]
 
     async def stop_calls(self, live: LiveProgram) -> None:
-        """Cancel running calls that may be repeated, wait for the others."""
+        """Cancel the calls without a recorded intent and wait for the others."""
         for key, task in list(live.tasks.items()):
             if key not in live.program.intents:
                 task.cancel()
         while live.calls:
-            await live.wait_for_change(STOP_CHECK_MS)
+            await live.wait_for_change(STOP_POLL_MS)
 
 
 def replayed_tokens(finished: FinishedCall, offset: int) -> Iterator[Tokens]:
-    """Give a kept model answer as tokens, for a stream from the beginning."""
+    """Yield a kept model answer as one `Tokens`, for a stream from offset 0."""
     text = finished.answer.output.get('text') if finished.answer else None
     if isinstance(text, str) and text and not offset:
         yield Tokens(0, [text])
 
 
-def check_same(digest: str, sequence: int, call: LiveCall) -> None:
-    """Check that a repeated key comes with the same request.
+def check_same_request(digest: str, sequence: int, call: LiveCall) -> None:
+    """Check that a repeated key comes with the same request and sequence.
 
     Raises:
         Refusal: the key was used for another request.
@@ -321,20 +355,20 @@
     """Check the input of a model call.
 
     Raises:
-        Refusal: a part is missing or of the wrong type.
+        Refusal: a field is missing or of the wrong type.
     """
     message = argument.get('message')
     if not isinstance(message, str) or not message:
-        raise Refusal(RefusalCode.MALFORMED, 'input.message must be a text')
-    wished = argument.get('max_tokens', 1)
-    if not isinstance(wished, int) or wished < 1:
+        raise Refusal(RefusalCode.MALFORMED, 'input.message must be a non-empty string')
+    max_tokens = argument.get('max_tokens', 1)
+    if not isinstance(max_tokens, int) or max_tokens < 1:
         raise Refusal(
             RefusalCode.MALFORMED,
-            'input.max_tokens must be a whole number from 1 on',
+            'input.max_tokens must be an integer of at least 1',
         )
 
 
-def cancelled(call: LiveCall) -> Refusal:
-    """Describe a call that its program's end cut short."""
+def cancelled_refusal(call: LiveCall) -> Refusal:
+    """Return the refusal of a call that was cancelled by its program's end."""
     outcome = Outcome.RAN if call.running else Outcome.NOT_RUN
     return Refusal(RefusalCode.CANCELLED, 'the program was ended', outcome)
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -1,41 +1,45 @@
-"""Finding out what became of a dead home's non-idempotent calls."""
+"""Resolves the non-idempotent calls that a dead owner left open."""
 
 from collections.abc import Iterable
-
-from pollenwalk.connection.wire import Answer, CallProgram
-from pollenwalk.errors import (
-    Outcome,
-    PollenwalkError,
-    Refusal,
-    RefusalBody,
-    RefusalCode,
-)
+from pollenwalk.connection.wire import Answer
+from pollenwalk.connection.wire import CallProgram
+from pollenwalk.errors import Outcome
+from pollenwalk.errors import PollenwalkError
+from pollenwalk.errors import Refusal
+from pollenwalk.errors import RefusalBody
+from pollenwalk.errors import RefusalCode
 from pollenwalk.process.owner_interface import OwnerInterface
 from pollenwalk.program.history import service_history_items
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.program.program import Program
-from pollenwalk.program.records import Finished, Intended, Withdrawn
+from pollenwalk.program.records import Finished
+from pollenwalk.program.records import Intended
+from pollenwalk.program.records import Withdrawn
 from pollenwalk.request.call import LiveCall
 from pollenwalk.request.dispatch import Resolver
 
-RECOVERY_MS = 30_000
+RECOVERY_TIMEOUT_MS = 30_000
 
 
 class Recovery:
-    """Settles the intents of programs that a home has adopted."""
+    """Resolves the intents of adopted programs: whether each call ran, and how."""
 
     def __init__(self, owner: OwnerInterface) -> None:
-        """Recover the programs of `home`."""
+        """Recover programs of `owner`."""
         self.owner = owner
         self.context = owner.context
 
     def recover(self, programs: Iterable[Program]) -> None:
-        """Find out what became of the intents of adopted programs."""
+        """Start to resolve the intents of adopted programs.
+
+        Programs that have ended release their engine memory again, as the
+        dead owner may not have done so.
+        """
         for program in programs:
             live = self.owner.find(program.id)
             live.doubtful_sequence = program.next_sequence
             for intent in list(program.intents.values()):
-                call = LiveCall(request_of(intent), self.context.clock)
+                call = LiveCall(rebuild_request(intent), self.context.clock)
                 live.calls[intent.key] = call
                 live.tasks[intent.key] = self.owner.tasks.spawn(
                     self.recover_call(live, call, intent),
@@ -53,37 +57,41 @@
         call: LiveCall,
         intent: Intended,
     ) -> None:
-        """Ask the sidecar that an intent names, and never dispatch again."""
+        """Ask the sidecar that an intent names how the call ended.
+
+        The dispatch is never repeated, as the call may have run. Its outcome
+        is unknown if the sidecar can't tell within `RECOVERY_TIMEOUT_MS`.
+        """
         resolver = Resolver(
             self.context.peers(intent.address),
             self.context.clock,
             intent.boot_id,
         )
-        until_ms = self.context.clock.now_ms() + RECOVERY_MS
+        until_ms = self.context.clock.now_ms() + RECOVERY_TIMEOUT_MS
         try:
             answer = await resolver.resolve(call, intent.incarnation, until_ms)
             if answer is None:
-                await self.withdraw(live, call, intent)
+                await self.record_withdrawn(live, call, intent)
             else:
-                await self.recovered(live, call, intent, answer)
+                await self.record_ending(live, call, intent, answer)
         except Refusal as refusal:
-            await self.recovered(live, call, intent, refusal)
+            await self.record_ending(live, call, intent, refusal)
         except PollenwalkError as error:
-            call.refuse(error)
+            call.fail(error)
         finally:
             live.calls.pop(intent.key, None)
             live.tasks.pop(intent.key, None)
             live.notify_waiting_calls()
 
-    async def withdraw(
+    async def record_withdrawn(
         self,
         live: LiveProgram,
         call: LiveCall,
         intent: Intended,
     ) -> None:
-        """Record that an intent was proven not to have run.
+        """Record that an intended call is proven not to have run.
 
-        Where a caller waits for it, the call is then run for the first time.
+        If a caller is waiting for it, the call is then run.
         """
         await self.context.recorder.record(
             live,
@@ -92,26 +100,29 @@
         if call.stream.followers:
             await self.owner.run(live, call)
             return
-        call.refuse(
+        call.fail(
             Refusal(
                 RefusalCode.CANCELLED,
-                'its entry died before the call was handed over',
+                'its entry died before it dispatched the call',
                 retry_after_ms=0,
             ),
         )
 
-    async def recovered(
+    async def record_ending(
         self,
         live: LiveProgram,
         call: LiveCall,
         intent: Intended,
         ending: Answer | Refusal,
     ) -> None:
-        """Record how a call of a dead home ended."""
+        """Record how an intended call ended, and answer its callers.
+
+        A refusal with the outcome 'not run' is recorded as withdrawn instead.
+        """
         answer = ending if isinstance(ending, Answer) else None
         refusal = ending if isinstance(ending, Refusal) else None
         if refusal is not None and refusal.outcome == Outcome.NOT_RUN:
-            await self.withdraw(live, call, intent)
+            await self.record_withdrawn(live, call, intent)
             return
         entries = []
         if answer is not None:
@@ -135,8 +146,8 @@
         call.finish(live.program.finished[intent.key])
 
 
-def request_of(intent: Intended) -> CallProgram:
-    """Rebuild the request that an intent stands for."""
+def rebuild_request(intent: Intended) -> CallProgram:
+    """Return the request from which an intent was made, with a new deadline."""
     return CallProgram(
         intent.program,
         intent.key,
@@ -144,5 +155,5 @@
         intent.upstream,
         intent.operation,
         intent.argument,
-        time_left_ms=RECOVERY_MS,
+        time_left_ms=RECOVERY_TIMEOUT_MS,
     )
--- a/pollenwalk/process/takeover.py
+++ b/pollenwalk/process/takeover.py
@@ -1,8 +1,8 @@
-"""Taking over the programs of a dead entry.
+"""Takes over the journal of a dead entry.
 
-The successor seals the dead home's journal in the store, then at one witness,
-and only then reads what was acknowledged. Whoever loses the seal leaves the
-programs to the one who won it.
+The successor seals the dead owner's journal in the store, then at one witness,
+and only then reads what was acknowledged. If several entries try, the one
+whose seal was written first gets the programs.
 """
 
 import random
@@ -23,31 +23,33 @@
 from pollenwalk.process.store import ObjectStore, create_once, make_nonce
 from pollenwalk.process.witness import PeerSource, WitnessLog, seal_at_witness
 from pollenwalk.program.program import Program, ProgramTable
-from pollenwalk.program.records import (
-    Adopted,
-    Record,
-    Snapshot,
-    decode_records,
-)
+from pollenwalk.program.records import Adopted, Record, Snapshot, decode_records
+
+WITNESS_SEAL_TIMEOUT_MS = 15_000
+WITNESS_RETRY_MS = 500
 
-WITNESS_PATIENCE_MS = 15_000
-WITNESS_PAUSE_MS = 500
 
+class SealedJournal(NamedTuple):
+    """A journal that can no longer be written.
 
-class Sealed(NamedTuple):
-    """A journal that nobody writes to any more."""
+    Attributes:
+        content: what was read from the store.
+        tail: records that only a witness held.
+        tail_lost: whether no witness could be read, so that records may be
+            missing.
+    """
 
     content: JournalContent
     tail: list[Record]
     tail_lost: bool
 
     def records(self) -> list[Record]:
-        """Give all records in order."""
+        """Return all records in journal order."""
         return [*self.content.records(), *self.tail]
 
 
 class Takeover:
-    """One successor's takeover of one dead incarnation."""
+    """Seals and reads the journals of dead entries for one successor."""
 
     def __init__(
         self,
@@ -58,7 +60,7 @@
         successor: str,
         rng: random.Random,
     ) -> None:
-        """Prepare to act for the incarnation `successor`."""
+        """Act for the incarnation `successor`."""
         self.rng = rng
         self.store = store
         self.clock = clock
@@ -67,7 +69,7 @@
         self.successor = successor
 
     async def claim_ownership(self, dead: str) -> str:
-        """Seal a journal unless somebody has, and tell whose seal it is.
+        """Seal a dead entry's journal unless another successor owns it.
 
         Args:
             dead: the incarnation that is believed dead.
@@ -76,20 +78,24 @@
             The incarnation that owns the programs now.
 
         Raises:
-            StoreUnavailable: the store gave no answer while reading.
+            StoreUnavailable: the store did not answer while the journal was
+                read.
         """
         while True:
             content = await read_journal(self.store, dead)
-            if content.sealed_by and not await self.is_orphan(dead, content.sealed_by):
+            if content.sealed_by and not await self.is_orphaned_seal(
+                dead, content.sealed_by
+            ):
                 return content.sealed_by
             if await self.seal(dead, content):
                 return self.successor
 
     async def seal(self, dead: str, content: JournalContent) -> bool:
-        """Seal a journal, or seal it once more after a successor that died.
+        """Add a seal to a journal, which may have that of a dead successor.
 
         Returns:
-            Whether the seal is ours.
+            Whether this successor's seal is written; False if another entry
+            wrote the segment first.
         """
         seal = Segment(
             make_nonce(self.rng),
@@ -98,19 +104,24 @@
             content.witnesses,
             self.successor,
         )
-        key = segment_key(dead, content.last_number + 1)
+        key = segment_key(dead, content.last_segment_number + 1)
         body = encode_segment(seal)
-        ours = await create_once(self.store, self.clock, key, body)
-        if ours:
+        created = await create_once(self.store, self.clock, key, body)
+        if created:
             logger.info('journal_sealed', dead=dead, by=self.successor)
-        return ours
+        return created
 
-    async def is_orphan(self, dead: str, owner_id: str) -> bool:
-        """Tell whether the owner of a seal can never adopt any more.
+    async def is_orphaned_seal(self, dead: str, owner_id: str) -> bool:
+        """Return whether the owner of a seal can no longer adopt the programs.
 
-        That is so once its own journal is sealed without the adoption in it.
-        The adoption may only be missing there after the dead entry's record
-        has named its successor, so the record is read last.
+        It can't once its own journal is sealed without the adoption in it. An
+        adoption may also be missing there because compaction deleted it, but
+        only after the dead entry's record has named its successor. Therefore
+        that record is read last.
+
+        Args:
+            dead: the sealed incarnation.
+            owner_id: the incarnation that wrote the seal.
         """
         if owner_id == self.successor:
             return False
@@ -123,31 +134,39 @@
         stored = await self.store.get(record_key(dead))
         return stored is None or not decode_record(stored.body).successor
 
-    async def read_sealed(self, dead: str) -> Sealed:
-        """Read a sealed journal and what its witnesses hold beyond it."""
+    async def read_sealed(self, dead: str) -> SealedJournal:
+        """Read a sealed journal and the batches that only its witnesses hold.
+
+        If no witness can be read within `WITNESS_SEAL_TIMEOUT_MS`, the tail is
+        reported as lost.
+        """
         content = await read_journal(self.store, dead)
         witnesses = content.witnesses
         if not witnesses:
-            return Sealed(content, [], tail_lost=False)
+            return SealedJournal(content, [], tail_lost=False)
         message = WitnessSeal(dead, content.last_batch)
-        until_ms = self.clock.now_ms() + WITNESS_PATIENCE_MS
+        until_ms = self.clock.now_ms() + WITNESS_SEAL_TIMEOUT_MS
         while True:
-            held = await self.seal_any(content, message)
+            held = await self.seal_first_reachable(content, message)
             if held is not None:
                 break
             if self.clock.now_ms() > until_ms:
                 logger.error('journal_tail_lost', dead=dead)
-                return Sealed(content, [], tail_lost=True)
-            await self.clock.sleep_ms(WITNESS_PAUSE_MS)
+                return SealedJournal(content, [], tail_lost=True)
+            await self.clock.sleep_ms(WITNESS_RETRY_MS)
         records = [record for batch in held.batches for record in decode_records(batch)]
-        return Sealed(content, records, tail_lost=False)
+        return SealedJournal(content, records, tail_lost=False)
 
-    async def seal_any(
+    async def seal_first_reachable(
         self,
         content: JournalContent,
         message: WitnessSeal,
     ) -> WitnessBatches | None:
-        """Seal at the first witness that can be reached."""
+        """Seal at the first witness that answers, and return its batches.
+
+        Returns:
+            The batches, or None if no witness answers.
+        """
         for ref in content.witnesses:
             if ref.incarnation == self.successor:
                 return self.witness_log.seal(message)
@@ -157,37 +176,40 @@
         return None
 
 
-def replay(sealed: Sealed) -> ProgramTable:
+def replay(sealed: SealedJournal) -> ProgramTable:
     """Rebuild the programs of a sealed journal.
 
-    Programs that were being adopted from a third journal count only when
-    that adoption was completed.
+    Programs that its owner was adopting from a third journal are included
+    only if that adoption was completed.
     """
     table = ProgramTable()
-    arriving: dict[str, list[Snapshot]] = {}
+    pending_snapshots: dict[str, list[Snapshot]] = {}
     for record in sealed.records():
         if isinstance(record, Snapshot) and record.origin:
-            arriving.setdefault(record.origin, []).append(record)
+            pending_snapshots.setdefault(record.origin, []).append(record)
         elif isinstance(record, Adopted):
-            for snapshot in arriving.pop(record.incarnation, []):
+            for snapshot in pending_snapshots.pop(record.incarnation, []):
                 table.apply(snapshot)
         else:
             table.apply(record)
     for program in table.programs.values():
-        mark_replayed(program, sealed.tail_lost)
+        account_for_losses(program, sealed.tail_lost)
     return table
 
 
-def mark_replayed(program: Program, tail_lost: bool) -> None:
-    """Count what a dead home may have spent, and note lost records."""
+def account_for_losses(program: Program, tail_lost: bool) -> None:
+    """Count a program's reservation as spent, and mark it if records are lost.
+
+    The dead owner may have spent what was reserved without recording it.
+    """
     if program.ended:
         return
     program.budget = program.budget.forfeit()
     program.uncertain = program.uncertain or tail_lost
 
 
-def adopted_incarnations(sealed: Sealed) -> set[str]:
-    """Give the incarnations whose programs a journal has adopted."""
+def adopted_incarnations(sealed: SealedJournal) -> set[str]:
+    """Return the incarnations whose programs a journal has adopted."""
     return {
         record.incarnation for record in sealed.records() if isinstance(record, Adopted)
     }
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -1,30 +1,43 @@
-"""Attempts of one call: choosing a host, handing over, and pausing between."""
+"""Attempts to run one call: choice of a host, dispatch to it, and back-off."""
 
 from loguru import logger
-
 from pollenwalk.connection.peer import Connection
-from pollenwalk.connection.wire import Answer, Dispatch
-from pollenwalk.errors import Fenced, Refusal, RefusalCode
-from pollenwalk.policy.placement import HostView, PlacementRequest
-from pollenwalk.program.history import EMPTY_DIGEST, estimate_tokens
+from pollenwalk.connection.wire import Answer
+from pollenwalk.connection.wire import Dispatch
+from pollenwalk.errors import Fenced
+from pollenwalk.errors import Refusal
+from pollenwalk.errors import RefusalCode
+from pollenwalk.policy.placement import HostView
+from pollenwalk.policy.placement import PlacementRequest
+from pollenwalk.program.history import EMPTY_DIGEST
+from pollenwalk.program.history import estimate_tokens
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.request.call import LiveCall
 from pollenwalk.request.dispatch import dispatch
 from pollenwalk.request.entry_context import EntryContext
-from pollenwalk.request.retry import pause_ms
+from pollenwalk.request.retry import backoff_ms
 from pollenwalk.version.resources import UpstreamSpec
 
 DEFAULT_MAX_TOKENS = 64
 MAX_ATTEMPTS = 6
+# Pause before the fleet is asked again for a host, and how long it is asked.
 NO_HOST_PAUSE_MS = 100
-NO_HOST_WAIT_MS = 1500
-REFUSED_PAUSE_MS = 100
-LOST_PAUSE_MS = 1000
+NO_HOST_TIMEOUT_MS = 1500
+# How long a host gets no calls after a refusal without a retry time, and after a
+# lost connection.
+REFUSAL_PAUSE_MS = 100
+LOST_HOST_PAUSE_MS = 1000
+# Retry-After of calls that no host accepts or that have no retries left.
 RETRY_AFTER_MS = 500
 
 
 class Attempts:
-    """All attempts of one call."""
+    """The attempts to run one call.
+
+    Attributes:
+        avoided_sidecars: sidecars that refused or lost the call; used as an
+            ordered set.
+    """
 
     def __init__(
         self,
@@ -33,44 +46,45 @@
         call: LiveCall,
         spec: UpstreamSpec,
     ) -> None:
-        """Prepare to try `call` at the upstream that `spec` declares."""
+        """Prepare to run `call` at the upstream that `spec` declares."""
         self.context = context
         self.live = live
         self.call = call
         self.spec = spec
         self.program = live.program
         self.request = call.request
-        self.avoid: dict[str, None] = {}
+        self.avoided_sidecars: dict[str, None] = {}
 
     @property
     def priority(self) -> int:
-        """Give the level of the program's priority class."""
+        """Return the level of the program's priority class."""
         declaration = self.context.config.program(self.program.declaration)
         name = declaration.priority if declaration else ''
         return self.context.config.priority_level(name)
 
     @property
     def message_tokens(self) -> int:
-        """Count the tokens that the call adds to the prompt."""
+        """Return the number of tokens that the call adds to the prompt."""
         return estimate_tokens(str(self.request.argument.get('message', '')))
 
-    async def pick(self) -> HostView:
-        """Choose a host, waiting a little when there is none.
+    async def choose_host(self) -> HostView:
+        """Return the host for the next attempt; wait a bounded time for one.
 
         Raises:
-            Refusal: no host is to be had.
+            Fenced: this owner is about to hand its programs over.
+            Refusal: no host accepted work in time; the call did not run.
         """
-        until_ms = self.context.clock.now_ms() + min(
-            NO_HOST_WAIT_MS,
+        give_up_at_ms = self.context.clock.now_ms() + min(
+            NO_HOST_TIMEOUT_MS,
             self.call.remaining_ms(),
         )
         while True:
-            if self.context.recorder.journal.closing:
-                raise Fenced('this home is about to be handed over')
-            if self.context.clock.now_ms() >= until_ms:
+            if self.context.recorder.journal.handing_over:
+                raise Fenced('this owner is about to hand its programs over')
+            if self.context.clock.now_ms() >= give_up_at_ms:
                 raise Refusal(
                     RefusalCode.NO_UPSTREAM,
-                    f'no host of {self.request.upstream} takes work now',
+                    f'no host of upstream {self.request.upstream} accepts calls now',
                     retry_after_ms=RETRY_AFTER_MS,
                 )
             hosts = self.context.fleet.available_hosts(self.request.upstream)
@@ -80,7 +94,7 @@
             await self.context.clock.sleep_ms(NO_HOST_PAUSE_MS)
 
     def placement_request(self) -> PlacementRequest:
-        """Describe the call to the placement policy."""
+        """Return the description of the call for the placement policy."""
         history = self.program.history
         prompt = self.live.history_tokens + self.message_tokens
         max_tokens = self.request.argument.get('max_tokens', DEFAULT_MAX_TOKENS)
@@ -92,20 +106,33 @@
             self.live.cached_tokens,
             float(max_tokens) * self.spec.decode_ms,
             self.spec.prefill_ms,
-            frozenset(self.avoid),
+            frozenset(self.avoided_sidecars),
         )
 
-    async def hand_over(
+    async def dispatch_to(
         self,
         host: HostView,
         max_tokens: int,
         connection: Connection | None = None,
     ) -> Answer:
-        """Give the call to a host's sidecar and wait for the answer."""
+        """Dispatch the call to a host's sidecar and wait for the answer.
+
+        Args:
+            host: the host.
+            max_tokens: tokens that the answer may have; 0 for a plain service.
+            connection: to the sidecar; None opens or reuses one.
+
+        Returns:
+            The answer, without the host's load that came with it.
+
+        Raises:
+            ConnectionLost: the sidecar did not answer; the call may have run.
+            Refusal: the sidecar refused the call, or the call failed there.
+        """
         if connection is None:
             connection = await self.context.peers(host.address).ensure_connected()
         with self.context.tracer.span('dispatch', self.request.trace) as trace:
-            message = self.build(host, connection.boot_id, max_tokens, trace)
+            message = self.build_dispatch(host, connection.boot_id, max_tokens, trace)
             self.call.running = True
             self.context.fleet.add_call(host.sidecar, self.call.id)
             try:
@@ -113,17 +140,19 @@
             finally:
                 self.context.fleet.remove_call(host.sidecar, self.call.id)
         self.context.fleet.update_load(host.sidecar, answer.remaining_calls)
-        self.context.retries.of(self.program.caller, self.request.upstream).earn()
+        self.context.retries.budget_of(
+            self.program.caller, self.request.upstream
+        ).earn()
         return answer._replace(remaining_calls=0)
 
-    def build(
+    def build_dispatch(
         self,
         host: HostView,
         boot_id: str,
         max_tokens: int,
         trace: str,
     ) -> Dispatch:
-        """Build the message, with the part of the history that is missing."""
+        """Build the dispatch, with the history entries that the sidecar lacks."""
         history = self.program.history
         model = self.spec.kind == 'model'
         base = self.live.sidecar_digests.get(host.sidecar, EMPTY_DIGEST)
@@ -147,53 +176,61 @@
             trace,
         )
 
-    async def lost(self, host: HostView) -> None:
-        """Leave a silent host out and pause before the next attempt."""
+    async def handle_lost_host(self, host: HostView) -> None:
+        """Pause a host whose connection was lost, and back off.
+
+        Raises:
+            Refusal: no retry is left for this caller and upstream.
+        """
         logger.info('host_lost', sidecar=host.sidecar, call=self.call.id)
-        self.context.fleet.pause_host(host.sidecar, LOST_PAUSE_MS)
-        await self.pause(host)
+        self.context.fleet.pause_host(host.sidecar, LOST_HOST_PAUSE_MS)
+        await self.back_off(host)
+
+    async def handle_refusal(self, host: HostView, refusal: Refusal) -> None:
+        """Pause a host that refused the call, and back off.
 
-    async def refused(self, host: HostView, refusal: Refusal) -> None:
-        """Take a proven refusal; go on to another host or give up.
+        A host that is stopping is marked as leaving instead.
 
         Raises:
-            Refusal: the attempts or the retries are used up.
+            Refusal: no attempt is left, or no retry for this caller and upstream.
         """
         if refusal.code == RefusalCode.STOPPING:
             self.context.fleet.mark_leaving(host.sidecar)
         else:
             self.context.fleet.pause_host(
                 host.sidecar,
-                refusal.retry_after_ms or REFUSED_PAUSE_MS,
+                refusal.retry_after_ms or REFUSAL_PAUSE_MS,
             )
-        if not self.attempts_left():
+        if not self.has_attempts_left():
             raise refusal
-        await self.pause(host)
+        await self.back_off(host)
 
-    def attempts_left(self) -> bool:
-        """Tell whether the call may be tried once more."""
+    def has_attempts_left(self) -> bool:
+        """Return whether another attempt is allowed."""
         return self.call.attempts < MAX_ATTEMPTS and self.call.remaining_ms() > 0
 
-    async def pause(self, host: HostView) -> None:
-        """Spend a retry and wait with jitter.
+    async def back_off(self, host: HostView) -> None:
+        """Spend a retry of the budget and wait for a random back-off.
 
         Raises:
             Refusal: no retry is left for this caller and upstream.
         """
-        self.avoid[host.sidecar] = None
+        self.avoided_sidecars[host.sidecar] = None
         self.call.attempts += 1
-        budget = self.context.retries.of(self.program.caller, self.request.upstream)
+        budget = self.context.retries.budget_of(
+            self.program.caller, self.request.upstream
+        )
         if not budget.spend():
             raise Refusal(
                 RefusalCode.OVERLOADED,
-                f'too many retries towards {self.request.upstream}',
+                f'retry budget for upstream {self.request.upstream} is used up',
                 retry_after_ms=RETRY_AFTER_MS,
             )
         await self.context.clock.sleep_ms(
-            pause_ms(self.call.attempts, self.context.rng),
+            backoff_ms(self.call.attempts, self.context.rng),
         )
 
-    def note_held(self, host: HostView) -> None:
-        """Remember what the host's sidecar and engine now hold."""
+    def note_cached_history(self, host: HostView) -> None:
+        """Note that the host's sidecar and engine now have the whole history."""
         self.live.sidecar_digests[host.sidecar] = self.program.history.digest
         self.live.cached_tokens[host.sidecar] = self.live.history_tokens
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -1,8 +1,8 @@
-"""Running one call whose turn has come: choose, hand over, retry, record.
+"""Execution of one call that is next in order: dispatch, retry and record.
 
-A model call may be repeated, so it is tried again elsewhere when a host is
-lost. A non-idempotent call is handed over only after its intent is durable,
-and again only after proof that it did not run.
+A model call may be repeated, so it is tried again at another host when a host is
+lost. A non-idempotent call is dispatched only after its intent is durable, and
+dispatched again only after proof that it did not run.
 """
 
 from pollenwalk.connection.peer import Connection
@@ -26,20 +26,22 @@
 from pollenwalk.request.entry_context import EntryContext
 from pollenwalk.version.resources import ProgramSpec, UpstreamSpec
 
-INTENT_WAIT_MS = 2000
+# How long a call waits for a record that it needs before it is dispatched.
+INTENT_TIMEOUT_MS = 2000
+# How long after the call's deadline its sidecar is still asked for the outcome.
 RESOLVE_GRACE_MS = 5000
 
 
-Ending = Answer | Refusal
+CallResult = Answer | Refusal
 
 
 class Execution:
-    """One call's run."""
+    """The execution of one call."""
 
     def __init__(
         self, context: EntryContext, live: LiveProgram, call: LiveCall
     ) -> None:
-        """Prepare to run; the declarations are read now and stay."""
+        """Prepare to run `call`; it keeps the declarations that are in force now."""
         self.context = context
         self.live = live
         self.call = call
@@ -52,76 +54,77 @@
         self.attempts = Attempts(context, live, call, self.spec)
 
     async def run(self) -> FinishedCall:
-        """Run the call to its final answer.
+        """Run the call to its final answer or refusal and record it.
 
         Raises:
-            Refusal: the call did not run and takes no place in the order.
+            Refusal: the call is not recorded and takes no place in the order.
         """
-        if not self.context.recorder.journal.fresh:
-            await self.confirm()
+        if not self.context.recorder.journal.recently_confirmed:
+            await self.confirm_ownership()
         if self.request.operation not in self.spec.idempotent:
             return await self.run_once()
         try:
             return await self.run_repeatable()
         except Refusal as refusal:
-            final = refusal.retry_after_ms is None
-            if final and self.live.may_have_run(self.request):
-                # An earlier try may have run, so the call takes its place.
-                return await self.finish(doubted(refusal), None)
+            is_final = refusal.retry_after_ms is None
+            if is_final and self.live.may_have_run(self.request):
+                # An earlier attempt may have run, so the call takes its place in
+                # the order.
+                return await self.finish(with_unknown_outcome(refusal), None)
             raise
 
     async def run_repeatable(self) -> FinishedCall:
-        """Run a call that may be repeated, a model's within its budget."""
+        """Run a call that may be repeated; model calls stay within the budget."""
         while True:
-            max_tokens = await self.reserve() if self.is_model else 0
-            host = await self.attempts.pick()
-            ending = await self.tried(host, max_tokens)
-            if ending is not None:
-                return await self.finish(ending, host)
+            max_tokens = await self.ensure_reserved() if self.is_model else 0
+            host = await self.attempts.choose_host()
+            call_result = await self.attempt_repeatable(host, max_tokens)
+            if call_result is not None:
+                return await self.finish(call_result, host)
 
     @property
     def is_model(self) -> bool:
-        """Tell a model call from one of a plain service."""
+        """Return whether the upstream is a model and not a plain service."""
         return self.spec.kind == 'model'
 
-    async def tried(self, host: HostView, max_tokens: int) -> Ending | None:
-        """Hand over once.
+    async def attempt_repeatable(
+        self, host: HostView, max_tokens: int
+    ) -> CallResult | None:
+        """Make one attempt at a call that may be repeated.
 
         Returns:
-            How the call ended; None when another attempt is due.
+            The answer or the final refusal; None if another attempt is due.
         """
         try:
-            return await self.attempts.hand_over(host, max_tokens)
+            return await self.attempts.dispatch_to(host, max_tokens)
         except ConnectionLost:
             self.note_maybe_ran()
-            await self.forfeit()
-            await self.attempts.lost(host)
+            await self.forfeit_reservation()
+            await self.attempts.handle_lost_host(host)
         except Refusal as refusal:
-            return await self.judged(refusal, host)
+            return await self.final_refusal(refusal, host)
         return None
 
-    async def judged(self, refusal: Refusal, host: HostView) -> Refusal | None:
-        """Decide whether a refusal is final.
-
-        Returns:
-            The refusal, or None when another attempt is due.
+    async def final_refusal(self, refusal: Refusal, host: HostView) -> Refusal | None:
+        """Return a refusal if it is final; otherwise back off and return None.
 
         Raises:
-            Refusal: the call did not run and no attempt is left.
+            Refusal: the call did not run and no attempt is left, or no retry is
+                left.
         """
         not_run = refusal.outcome == Outcome.NOT_RUN
         if not not_run:
             self.note_maybe_ran()
-        again = not_run or (not self.is_model and repeatable(refusal))
-        if again and self.attempts.attempts_left():
-            await self.attempts.refused(host, refusal)
+        may_retry = not_run or (not self.is_model and is_retryable(refusal))
+        if may_retry and self.attempts.has_attempts_left():
+            await self.attempts.handle_refusal(host, refusal)
             return None
         if not_run:
             raise refusal
         return refusal
 
-    async def forfeit(self) -> None:
-        """Count a lost attempt's reservation as spent."""
+    async def forfeit_reservation(self) -> None:
+        """Record that the tokens reserved for a lost attempt count as spent."""
         if not self.is_model:
             return
         await self.context.recorder.record(
@@ -130,92 +133,104 @@
         )
         self.call.stream.restart()
 
-    async def confirm(self) -> None:
-        """See that no successor runs this program by now.
+    async def confirm_ownership(self) -> None:
+        """Confirm that no successor has taken the program over.
 
         Raises:
-            Refusal: neither the store nor the witnesses answer.
+            Fenced: a successor owns the program.
+            Refusal: neither the store nor the witnesses answered in time.
         """
         try:
-            await self.context.recorder.confirm_ownership(INTENT_WAIT_MS)
+            await self.context.recorder.confirm_ownership(INTENT_TIMEOUT_MS)
         except TimeoutError as error:
             raise store_unavailable() from error
 
     async def run_once(self) -> FinishedCall:
-        """Run a non-idempotent call at most once."""
+        """Run a non-idempotent call at most once.
+
+        It is dispatched again only when proven not to have run.
+        """
         if self.program.uncertain:
-            return await self.finish(uncertain(), None)
+            return await self.finish(records_lost_refusal(), None)
         while True:
-            host, connection = await self.reach()
-            await self.intend(host, connection)
-            ending = await self.attempt_once(host, connection)
-            if not is_not_run(ending):
-                return await self.finish(ending, host)
-            await self.withdraw()
-            await self.attempts.refused(host, ending)
-
-    async def reach(self) -> tuple[HostView, Connection]:
-        """Connect to a host; nothing has been handed over if that fails."""
+            host, connection = await self.connect_to_host()
+            await self.record_intent(host, connection)
+            call_result = await self.attempt_once(host, connection)
+            if not is_proven_not_run(call_result):
+                return await self.finish(call_result, host)
+            await self.record_withdrawal()
+            await self.attempts.handle_refusal(host, call_result)
+
+    async def connect_to_host(self) -> tuple[HostView, Connection]:
+        """Choose a host and connect to its sidecar; nothing is dispatched yet."""
         while True:
-            host = await self.attempts.pick()
+            host = await self.attempts.choose_host()
             try:
                 return host, await self.context.peers(host.address).ensure_connected()
             except ConnectionLost:
-                await self.attempts.lost(host)
+                await self.attempts.handle_lost_host(host)
 
-    async def attempt_once(self, host: HostView, connection: Connection) -> Ending:
-        """Hand over once; after a lost connection find out what happened."""
+    async def attempt_once(self, host: HostView, connection: Connection) -> CallResult:
+        """Dispatch the call; if the connection is lost, resolve the outcome."""
         try:
-            return await self.attempts.hand_over(host, 0, connection)
+            return await self.attempts.dispatch_to(host, 0, connection)
         except ConnectionLost:
-            return await self.resolve(host, connection)
+            return await self.resolve_outcome(host, connection)
         except Refusal as refusal:
             return refusal
 
-    async def resolve(self, host: HostView, connection: Connection) -> Ending:
-        """Ask the sidecar what became of a call that was handed to it."""
+    async def resolve_outcome(
+        self, host: HostView, connection: Connection
+    ) -> CallResult:
+        """Ask the sidecar for the outcome of a call that was dispatched to it."""
         resolver = Resolver(
             self.context.peers(host.address),
             self.context.clock,
             connection.boot_id,
         )
-        until_ms = self.call.deadline_ms + RESOLVE_GRACE_MS
+        give_up_at_ms = self.call.deadline_ms + RESOLVE_GRACE_MS
         try:
-            answer = await resolver.resolve(self.call, '', until_ms)
+            answer = await resolver.resolve(self.call, '', give_up_at_ms)
         except Refusal as refusal:
             return refusal
-        return answer or never_arrived()
+        return answer or never_arrived_refusal()
 
     def note_maybe_ran(self) -> None:
-        """Note that a try of this call may have run."""
+        """Note that an attempt of this call may have run."""
         self.live.maybe_ran_keys[self.request.key] = None
 
-    async def reserve(self) -> int:
-        """Make sure that the budget covers the call.
+    async def ensure_reserved(self) -> int:
+        """Reserve tokens for the call unless enough are reserved already.
 
         Returns:
             How many tokens the answer may have.
 
         Raises:
-            Refusal: the budget is exhausted.
+            Refusal: the budget is exhausted, or the reservation could not be
+                recorded in time.
         """
-        wished = int(self.request.argument.get('max_tokens', DEFAULT_MAX_TOKENS))
-        wanted = self.attempts.message_tokens + wished
+        max_answer_tokens = int(
+            self.request.argument.get('max_tokens', DEFAULT_MAX_TOKENS)
+        )
+        required_tokens = self.attempts.message_tokens + max_answer_tokens
         if self.program.budget.left <= self.attempts.message_tokens:
             raise Refusal(
                 RefusalCode.BUDGET_EXHAUSTED,
-                f'{self.program.budget.left} tokens are left',
+                f'the program has {self.program.budget.left} tokens left',
             )
-        if self.program.budget.reserved < wanted:
+        if self.program.budget.reserved < required_tokens:
             await self.context.recorder.record(
                 self.live,
-                lambda: [Reserved(self.program.id, wanted)],
-                INTENT_WAIT_MS,
+                lambda: [Reserved(self.program.id, required_tokens)],
+                INTENT_TIMEOUT_MS,
             )
-        return min(wished, self.program.budget.reserved - self.attempts.message_tokens)
+        return min(
+            max_answer_tokens,
+            self.program.budget.reserved - self.attempts.message_tokens,
+        )
 
-    def make_intent(self, host: HostView, connection: Connection) -> Intended:
-        """Say what is about to be handed over, and to whom."""
+    def build_intent(self, host: HostView, connection: Connection) -> Intended:
+        """Return the record of what is about to be dispatched, and to whom."""
         return Intended(
             self.program.id,
             self.request.key,
@@ -229,19 +244,19 @@
             self.context.incarnation,
         )
 
-    async def intend(self, host: HostView, connection: Connection) -> None:
-        """Make the intent durable before the call is handed over.
+    async def record_intent(self, host: HostView, connection: Connection) -> None:
+        """Make the intent durable before the call is dispatched.
 
         Raises:
-            Refusal: the journal gave no answer in time; nothing was handed
-                over and the intent is withdrawn.
+            Refusal: the journal did not answer in time; nothing was dispatched,
+                and a withdrawal of the intent is recorded later.
         """
-        intent = self.make_intent(host, connection)
+        intent = self.build_intent(host, connection)
         try:
             await self.context.recorder.record(
                 self.live,
                 lambda: [intent],
-                INTENT_WAIT_MS,
+                INTENT_TIMEOUT_MS,
             )
         except Refusal:
             self.context.recorder.record_later(
@@ -250,18 +265,25 @@
             )
             raise
 
-    async def withdraw(self) -> None:
-        """Note that an intent was proven not to have run."""
+    async def record_withdrawal(self) -> None:
+        """Record that the call of an intent was proven not to have run."""
         self.call.running = False
         await self.context.recorder.record(
             self.live,
             lambda: [Withdrawn(self.program.id, self.request.key)],
         )
 
-    async def finish(self, ending: Ending, host: HostView | None) -> FinishedCall:
-        """Record the final answer or refusal and keep it."""
-        answer = ending if isinstance(ending, Answer) else None
-        refusal = ending if isinstance(ending, Refusal) else None
+    async def finish(
+        self, call_result: CallResult, host: HostView | None
+    ) -> FinishedCall:
+        """Record the final answer or refusal and return the finished call.
+
+        Args:
+            call_result: the answer or the refusal.
+            host: where the call ran or was refused; None if it was not dispatched.
+        """
+        answer = call_result if isinstance(call_result, Answer) else None
+        refusal = call_result if isinstance(call_result, Refusal) else None
         record = Finished(
             self.program.id,
             self.request.key,
@@ -271,35 +293,39 @@
             self.request.operation,
             answer,
             RefusalBody.from_refusal(refusal) if refusal else None,
-            self.entries(answer),
-            self.spent(answer),
-            self.next_reserve(),
+            self.history_entries(answer),
+            self.spent_tokens(answer),
+            self.next_reservation(),
             host.address if self.is_model and host else '',
         )
         await self.context.recorder.record(self.live, lambda: [record])
         if host is not None:
             self.context.recorder.settle(host.address, self.call.id)
             if self.is_model and answer:
-                self.attempts.note_held(host)
+                self.attempts.note_cached_history(host)
         return self.program.finished[self.request.key]
 
-    def spent(self, answer: Answer | None) -> int:
-        """Count what the call has cost; without an answer, all it might."""
+    def spent_tokens(self, answer: Answer | None) -> int:
+        """Return the tokens that the call has cost.
+
+        A model call without an answer counts with all reserved tokens, as nobody
+        knows how many it has used.
+        """
         if not self.is_model:
             return 0
         if answer is None:
             return self.program.budget.reserved
         return self.attempts.message_tokens + answer.tokens
 
-    def next_reserve(self) -> int:
-        """Give what to set aside for the program's next call."""
+    def next_reservation(self) -> int:
+        """Return the tokens to reserve for the program's next call."""
         budget = self.program.budget
         if self.is_model:
             return budget.cap_reserve_ahead(self.declaration.reserve_tokens)
         return budget.reserved
 
-    def entries(self, answer: Answer | None) -> list[HistoryItem]:
-        """Give what the call adds to the history."""
+    def history_entries(self, answer: Answer | None) -> list[HistoryItem]:
+        """Return the entries that the call adds to the program's history."""
         if answer is None:
             return []
         if self.is_model:
@@ -309,13 +335,13 @@
         )
 
 
-def is_not_run(ending: Ending) -> bool:
-    """Tell whether a call is proven not to have run."""
-    return isinstance(ending, Refusal) and ending.outcome == Outcome.NOT_RUN
+def is_proven_not_run(call_result: CallResult) -> bool:
+    """Return whether a result proves that the call did not run."""
+    return isinstance(call_result, Refusal) and call_result.outcome == Outcome.NOT_RUN
 
 
-def never_arrived() -> Refusal:
-    """Refuse a call that its sidecar has never seen and never will."""
+def never_arrived_refusal() -> Refusal:
+    """Return the refusal of a call that its sidecar lacks and will not receive."""
     return Refusal(
         RefusalCode.NO_UPSTREAM,
         'the call never reached the upstream host',
@@ -323,8 +349,11 @@
     )
 
 
-def uncertain() -> Refusal:
-    """Refuse what may have run before a program's last records were lost."""
+def records_lost_refusal() -> Refusal:
+    """Return the refusal of a call that may have run before.
+
+    The program's last records were lost, and its own may have been among them.
+    """
     return Refusal(
         RefusalCode.OUTCOME_UNKNOWN,
         'the last records of this program were lost',
@@ -332,16 +361,16 @@
     )
 
 
-def doubted(refusal: Refusal) -> Refusal:
-    """Give a refusal again without the claim that the call did not run."""
+def with_unknown_outcome(refusal: Refusal) -> Refusal:
+    """Return a copy of a refusal that leaves open whether the call ran."""
     return Refusal(
         RefusalCode(refusal.code),
-        f'{refusal.message}; an earlier try may have run',
+        f'{refusal.message}; an earlier attempt may have run',
         Outcome.UNKNOWN,
         refusal.retry_after_ms,
     )
 
 
-def repeatable(refusal: Refusal) -> bool:
-    """Tell whether an idempotent call is worth another attempt."""
+def is_retryable(refusal: Refusal) -> bool:
+    """Return whether an idempotent call may succeed at another attempt."""
     return refusal.code not in {RefusalCode.MALFORMED, RefusalCode.DEADLINE}
--- a/pollenwalk/request/unary.py
+++ b/pollenwalk/request/unary.py
@@ -1,4 +1,4 @@
-"""Calls whose answers are passed on whole."""
+"""Unary calls: each answer is forwarded to the caller when it is complete."""
 
 from pollenwalk.errors import BrokenAnswer, Outcome, Refusal, RefusalCode
 from pollenwalk.request.call_sender import CallSender, ForwardingContext
@@ -8,32 +8,37 @@
 
 
 async def run_unary(context: ForwardingContext, call: Call, reply: Reply) -> None:
-    """Run a call and pass its answer on once it is complete.
+    """Run a call and forward its answer once it is complete.
+
+    Args:
+        context: what forwarding needs of the process.
+        call: the call.
+        reply: the answer to the caller.
 
     Raises:
-        Refusal: there is no complete answer.
+        Refusal: no host gave a complete answer.
     """
     sender = CallSender(context, call, call.request.body)
     while True:
-        exchange = await sender.begin()
-        body = await body_or_none(sender, exchange)
+        exchange = await sender.open_exchange()
+        body = await read_body_or_none(sender, exchange)
         if body is not None:
             break
-        if not sender.may_run():
+        if not sender.may_send():
             raise Refusal(
                 RefusalCode.UPSTREAM_FAILED,
                 'the upstream host broke off its answer',
                 Outcome.UNKNOWN,
             )
-    sender.note_run()
-    await reply.whole(exchange.head.status, exchange.head.headers, body)
+    sender.record_run_time()
+    await reply.send_complete(exchange.head.status, exchange.head.headers, body)
 
 
-async def body_or_none(sender: CallSender, exchange: Exchange) -> bytes | None:
-    """Read the body; None where it broke off."""
+async def read_body_or_none(sender: CallSender, exchange: Exchange) -> bytes | None:
+    """Read the body of an answer; return None if it broke off."""
     try:
         with exchange:
             return await exchange.body()
     except BrokenAnswer as error:
-        sender.broke(exchange.state, error.message)
+        sender.handle_broken_answer(exchange.state, error.message)
         return None
--- a/test/test_broken.py
+++ b/test/test_broken.py
@@ -16,7 +16,7 @@
 from pollenwalk.process.memory_leases import MemoryLeases
 from pollenwalk.process.program_owner import ProgramOwner
 from pollenwalk.process.sidecar_calls import EpochFence
-from pollenwalk.process.takeover import Sealed, Takeover
+from pollenwalk.process.takeover import SealedJournal, Takeover
 from pollenwalk.program.budget import Budget
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.request.dispatch import Resolver
@@ -39,7 +39,7 @@
 
 async def intend_later(self: Execution, host: Any, connection: Any) -> None:
     """Hand over before the intent is durable."""
-    intent = self.make_intent(host, connection)
+    intent = self.build_intent(host, connection)
     self.context.recorder.record_later(self.live, lambda: [intent])
 
 
@@ -48,22 +48,22 @@
     return self.successor
 
 
-async def read_without_witness(self: Takeover, dead: str) -> Sealed:
+async def read_without_witness(self: Takeover, dead: str) -> SealedJournal:
     """Read the store alone."""
     sealed = await whole_read(self, dead)
-    return Sealed(sealed.content, [], tail_lost=False)
+    return SealedJournal(sealed.content, [], tail_lost=False)
 
 
 whole_read = Takeover.read_sealed
 
 
-async def always_vouch(self: ProgramOwner, refusal: Any, request: Any) -> bool:
+async def always_verified(self: ProgramOwner, refusal: Any, request: Any) -> bool:
     """Let every 'not run' pass."""
     return True
 
 
 async def dispatch_unresolved(
-    self: Resolver, call: Any, fence: str, until_ms: float
+    self: Resolver, call: Any, fence: str, give_up_at_ms: float
 ) -> None:
     """Take silence for a proof that the call did not run."""
 
@@ -80,7 +80,7 @@
     Break(
         'dispatch before the intent is durable',
         Execution,
-        'intend',
+        'record_intent',
         intend_later,
         'home_dies_before_intent_is_durable',
     ),
@@ -108,8 +108,8 @@
     Break(
         "'not run' without proof",
         ProgramOwner,
-        'vouches',
-        always_vouch,
+        'verify_not_run',
+        always_verified,
         'sealed_home_is_asked_again',
     ),
     Break(
@@ -143,7 +143,7 @@
     Break(
         'declarations are pushed once and never asked for',
         Entry,
-        'reply',
+        'reply_to_report',
         lambda self, report: None,
         'declaration_reaches_cut_sidecars',
     ),
