--- a/pollenwalk/process/entry_monitor.py
+++ b/pollenwalk/process/entry_monitor.py
@@ -1,10 +1,9 @@
 """Monitors the other entries: heartbeats, choice of witnesses, takeovers."""
 
 from loguru import logger
+
 from pollenwalk.connection.wire import Beat
-from pollenwalk.errors import Fenced
-from pollenwalk.errors import PollenwalkError
-from pollenwalk.errors import StoreUnavailable
+from pollenwalk.errors import Fenced, PollenwalkError, StoreUnavailable
 from pollenwalk.process.directory import EntryRecord
 from pollenwalk.process.entry_interface import EntryInterface
 from pollenwalk.process.liveness import CHECK_INTERVAL_MS
--- a/pollenwalk/process/maintenance.py
+++ b/pollenwalk/process/maintenance.py
@@ -1,11 +1,9 @@
 """Periodic work on an owner's programs: leases, idle programs, retention."""
 
 from loguru import logger
-from pollenwalk.connection.wire import Release
-from pollenwalk.connection.wire import Renew
-from pollenwalk.errors import ConnectionLost
-from pollenwalk.errors import PollenwalkError
-from pollenwalk.errors import Refusal
+
+from pollenwalk.connection.wire import Release, Renew
+from pollenwalk.errors import ConnectionLost, PollenwalkError, Refusal
 from pollenwalk.process.owner_interface import OwnerInterface
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.program.program import Program
@@ -86,7 +84,9 @@
     async def renew_at(self, address: str, programs: list[str]) -> None:
         """Renew leases at one sidecar; the next round makes up for a lost one."""
         try:
-            await self.context.peers(address).request(Renew(programs), RENEW_INTERVAL_MS)
+            await self.context.peers(address).request(
+                Renew(programs), RENEW_INTERVAL_MS
+            )
         except (ConnectionLost, Refusal):
             logger.debug('renew_lost', address=address)
 
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -1,20 +1,20 @@
 """Resolves the non-idempotent calls that a dead owner left open."""
 
 from collections.abc import Iterable
-from pollenwalk.connection.wire import Answer
-from pollenwalk.connection.wire import CallProgram
-from pollenwalk.errors import Outcome
-from pollenwalk.errors import PollenwalkError
-from pollenwalk.errors import Refusal
-from pollenwalk.errors import RefusalBody
-from pollenwalk.errors import RefusalCode
+
+from pollenwalk.connection.wire import Answer, CallProgram
+from pollenwalk.errors import (
+    Outcome,
+    PollenwalkError,
+    Refusal,
+    RefusalBody,
+    RefusalCode,
+)
 from pollenwalk.process.owner_interface import OwnerInterface
 from pollenwalk.program.history import service_history_items
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.program.program import Program
-from pollenwalk.program.records import Finished
-from pollenwalk.program.records import Intended
-from pollenwalk.program.records import Withdrawn
+from pollenwalk.program.records import Finished, Intended, Withdrawn
 from pollenwalk.request.call import LiveCall
 from pollenwalk.request.dispatch import Resolver
 
--- a/pollenwalk/process/witness.py
+++ b/pollenwalk/process/witness.py
@@ -6,14 +6,10 @@
 """
 
 from collections.abc import Callable
+
 from pollenwalk.connection.peer import Peer
-from pollenwalk.connection.wire import Done
-from pollenwalk.connection.wire import WitnessAppend
-from pollenwalk.connection.wire import WitnessBatches
-from pollenwalk.connection.wire import WitnessSeal
-from pollenwalk.errors import ConnectionLost
-from pollenwalk.errors import Refusal
-from pollenwalk.errors import RefusalCode
+from pollenwalk.connection.wire import Done, WitnessAppend, WitnessBatches, WitnessSeal
+from pollenwalk.errors import ConnectionLost, Refusal, RefusalCode
 from pollenwalk.process.segments import WitnessRef
 
 WITNESS_TIMEOUT_MS = 1000
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -1,16 +1,12 @@
 """Attempts to run one call: choice of a host, dispatch to it, and back-off."""
 
 from loguru import logger
+
 from pollenwalk.connection.peer import Connection
-from pollenwalk.connection.wire import Answer
-from pollenwalk.connection.wire import Dispatch
-from pollenwalk.errors import Fenced
-from pollenwalk.errors import Refusal
-from pollenwalk.errors import RefusalCode
-from pollenwalk.policy.placement import HostView
-from pollenwalk.policy.placement import PlacementRequest
-from pollenwalk.program.history import EMPTY_DIGEST
-from pollenwalk.program.history import estimate_tokens
+from pollenwalk.connection.wire import Answer, Dispatch
+from pollenwalk.errors import Fenced, Refusal, RefusalCode
+from pollenwalk.policy.placement import HostView, PlacementRequest
+from pollenwalk.program.history import EMPTY_DIGEST, estimate_tokens
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.request.call import LiveCall
 from pollenwalk.request.dispatch import dispatch
--- a/pollenwalk/request/dispatch.py
+++ b/pollenwalk/request/dispatch.py
@@ -1,23 +1,22 @@
 """Dispatch of one call to one sidecar, and resolution of its outcome."""
 
 from collections.abc import AsyncIterator
-from pollenwalk.connection.peer import Connection
-from pollenwalk.connection.peer import Peer
-from pollenwalk.connection.wire import Answer
-from pollenwalk.connection.wire import Dispatch
-from pollenwalk.connection.wire import Follow
-from pollenwalk.connection.wire import NeedHistory
-from pollenwalk.connection.wire import Resolve
-from pollenwalk.connection.wire import Tokens
-from pollenwalk.errors import ConnectionLost
-from pollenwalk.errors import Outcome
-from pollenwalk.errors import Refusal
-from pollenwalk.errors import RefusalCode
+from typing import Any
+
+from pollenwalk.connection.peer import Connection, Peer
+from pollenwalk.connection.wire import (
+    Answer,
+    Dispatch,
+    Follow,
+    NeedHistory,
+    Resolve,
+    Tokens,
+)
+from pollenwalk.errors import ConnectionLost, Outcome, Refusal, RefusalCode
 from pollenwalk.process.clock import Clock
 from pollenwalk.program.history import EMPTY_DIGEST
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.request.call import LiveCall
-from typing import Any
 
 # How long one question for an outcome may take, and the pause after a lost one.
 RESOLVE_TIMEOUT_MS = 2000
--- a/pollenwalk/request/exchange.py
+++ b/pollenwalk/request/exchange.py
@@ -2,11 +2,12 @@
 
 from collections.abc import AsyncIterator
 from http import HTTPStatus
+from types import TracebackType
+
 from pollenwalk.connection.connection_pool import ConnectionPool
 from pollenwalk.connection.upstream_connection import UpstreamConnection
 from pollenwalk.process.host_table import HostState
 from pollenwalk.request.http_messages import AnswerHead
-from types import TracebackType
 
 SUCCESSES = range(HTTPStatus.OK, HTTPStatus.MULTIPLE_CHOICES)
 
--- a/pollenwalk/request/routing.py
+++ b/pollenwalk/request/routing.py
@@ -7,31 +7,32 @@
 
 from collections import Counter
 from collections.abc import AsyncIterator
-from pollenwalk.connection.wire import Answer
-from pollenwalk.connection.wire import BeginProgram
-from pollenwalk.connection.wire import CallProgram
-from pollenwalk.connection.wire import ClaimKey
-from pollenwalk.connection.wire import EndProgram
-from pollenwalk.connection.wire import Tokens
-from pollenwalk.connection.wire import View
-from pollenwalk.connection.wire import ViewCall
-from pollenwalk.connection.wire import ViewProgram
-from pollenwalk.errors import ConnectionLost
-from pollenwalk.errors import Fenced
-from pollenwalk.errors import OwnerUnreachable
-from pollenwalk.errors import Refusal
-from pollenwalk.errors import StoreUnavailable
-from pollenwalk.process.directory import Directory
-from pollenwalk.process.directory import EntryRecord
-from pollenwalk.process.directory import rendezvous
+from typing import Any
+
+from pollenwalk.connection.wire import (
+    Answer,
+    BeginProgram,
+    CallProgram,
+    ClaimKey,
+    EndProgram,
+    Tokens,
+    View,
+    ViewCall,
+    ViewProgram,
+)
+from pollenwalk.errors import (
+    ConnectionLost,
+    Fenced,
+    OwnerUnreachable,
+    Refusal,
+    StoreUnavailable,
+)
+from pollenwalk.process.directory import Directory, EntryRecord, rendezvous
 from pollenwalk.process.fleet import Location
-from pollenwalk.process.program_ids import owner_of
-from pollenwalk.process.program_ids import unknown_program
+from pollenwalk.process.program_ids import owner_of, unknown_program
 from pollenwalk.process.program_owner import ProgramOwner
 from pollenwalk.process.witness import PeerSource
-from pollenwalk.program.view import view_call
-from pollenwalk.program.view import view_program
-from typing import Any
+from pollenwalk.program.view import view_call, view_program
 
 # How long a request waits for an owner or registrar that answers, and the pause
 # between tries.
