--- a/pollenwalk/connection/gateway_app.py
+++ b/pollenwalk/connection/gateway_app.py
@@ -1,4 +1,4 @@
-"""The gateway's HTTP side: requests in, answers out."""
+"""The ASGI application of the gateway."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -20,7 +20,8 @@
 
 Send = Callable[[dict[str, Any]], Awaitable[None]]
 Receive = Callable[[], Awaitable[dict[str, Any]]]
-Handle = Callable[[Request, Reply], Awaitable[None]]
+Handler = Callable[[Request, Reply], Awaitable[None]]
+# Statuses of refusals by code, if the call did not run.
 STATUSES = {
     RefusalCode.MALFORMED: HTTPStatus.BAD_REQUEST,
     RefusalCode.TOO_LARGE: HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
@@ -28,6 +29,7 @@
     RefusalCode.UNKNOWN_TURN: HTTPStatus.NOT_FOUND,
     RefusalCode.BUDGET_EXHAUSTED: HTTPStatus.PAYMENT_REQUIRED,
 }
+# Statuses of all other refusals.
 STATUSES_BY_OUTCOME = {
     Outcome.NOT_RUN: HTTPStatus.SERVICE_UNAVAILABLE,
     Outcome.RAN: HTTPStatus.BAD_GATEWAY,
@@ -36,71 +38,83 @@
 
 
 class AsgiReply:
-    """An answer through ASGI; implements `Reply`."""
+    """Sends the answer to a request through ASGI; implements `Reply`.
 
-    def __init__(self, send: Send, closing: Callable[[], bool]) -> None:
-        """Answer on one connection.
+    Attributes:
+        started: whether the status and the headers have been sent.
+    """
+
+    def __init__(self, send: Send, must_close: Callable[[], bool]) -> None:
+        """Create the reply to one request.
 
         Args:
-            send: of the server.
-            closing: whether the connection is to end with the answer.
+            send: the `send` callable that the ASGI server passes.
+            must_close: returns whether the connection has to be closed after
+                the answer.
         """
         self.send = send
-        self.closing = closing
+        self.must_close = must_close
         self.started = False
 
     async def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
-        """Give a complete answer with its length."""
+        """Send a complete answer with a Content-Length header."""
         length = (b'content-length', str(len(body)).encode())
         await self.start(status, [*headers, length])
         await self.send({'type': 'http.response.body', 'body': body})
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Begin an answer."""
+        """Send the status and the headers."""
         self.started = True
-        last = [(b'connection', b'close')] if self.closing() else []
+        closing = [(b'connection', b'close')] if self.must_close() else []
         await self.send(
             {
                 'type': 'http.response.start',
                 'status': status,
-                'headers': [*headers, *last],
+                'headers': [*headers, *closing],
             },
         )
 
     async def write(self, chunk: bytes) -> None:
-        """Give the next bytes."""
+        """Send the next part of the body."""
         await self.send(
             {'type': 'http.response.body', 'body': chunk, 'more_body': True},
         )
 
     async def finish(self) -> None:
-        """End the answer as complete."""
+        """Mark the answer as complete."""
         await self.send({'type': 'http.response.body', 'body': b''})
 
 
 class GatewayApp:
-    """The ASGI application that callers talk to."""
+    """The ASGI application that answers callers' requests.
+
+    Attributes:
+        close_connections: whether connections are closed after their next
+            answer.
+        in_progress: number of requests in progress.
+    """
 
     def __init__(
         self,
         clock: Clock,
-        handle: Handle,
+        handler: Handler,
         count_refusal: Callable[[Refusal], None],
         max_body_bytes: Callable[[], int],
     ) -> None:
-        """Hand every request to `handle`.
+        """Create an application that answers each request with `handler`.
 
         Args:
-            clock: tells when a request arrived.
-            handle: answers a request.
-            count_refusal: is told of each refusal.
-            max_body_bytes: the largest body that is read now.
+            clock: clock for the arrival times of requests.
+            handler: answers a request; may raise `Refusal` or `BrokenAnswer`.
+            count_refusal: called with each refusal that `read_body` or
+                `handler` raises.
+            max_body_bytes: returns the current limit on the size of a body.
         """
         self.clock = clock
-        self.handle = handle
+        self.handler = handler
         self.count_refusal = count_refusal
         self.max_body_bytes = max_body_bytes
-        self.closing = False
+        self.close_connections = False
         self.in_progress = 0
 
     async def __call__(
@@ -109,7 +123,7 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Serve one request."""
+        """Serve a request and count it as in progress; ignore other events."""
         if scope['type'] != 'http':
             return
         self.in_progress += 1
@@ -124,9 +138,9 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Read the request, then answer it unless its caller leaves."""
+        """Read a request and answer it; cancel the answer if the caller leaves."""
         arrived_ms = self.clock.now_ms()
-        reply = AsgiReply(send, lambda: self.closing)
+        reply = AsgiReply(send, lambda: self.close_connections)
         try:
             body = await read_body(receive, self.max_body_bytes())
         except Refusal as refusal:
@@ -137,40 +151,47 @@
             return
         request = read_request(scope, body, arrived_ms)
         answering = asyncio.ensure_future(self.answer(request, reply))
-        leaving = asyncio.ensure_future(left(receive))
+        disconnecting = asyncio.ensure_future(wait_for_disconnect(receive))
         try:
             await asyncio.wait(
-                (answering, leaving),
+                (answering, disconnecting),
                 return_when=asyncio.FIRST_COMPLETED,
             )
             if not answering.done():
                 logger.info('caller_left', request=request.metadata.id)
         finally:
-            leaving.cancel()
+            disconnecting.cancel()
             answering.cancel()
-            await asyncio.gather(answering, leaving, return_exceptions=True)
+            await asyncio.gather(answering, disconnecting, return_exceptions=True)
 
     async def answer(self, request: Request, reply: AsgiReply) -> None:
-        """Answer a request; one that can't be completed is cut."""
+        """Answer a request, with a refusal if the handler fails.
+
+        If the answer has already begun, it is left incomplete instead, so that
+        the caller sees a broken answer.
+        """
         try:
-            await self.handle(request, reply)
+            await self.handler(request, reply)
         except Refusal as refusal:
             self.count_refusal(refusal)
             await refuse(request, refusal, reply)
         except BrokenAnswer as error:
             logger.warning('cut', request=request.metadata.id, reason=error.message)
         except Exception as error:  # noqa: BLE001
-            # A defect must not leave the caller waiting.
+            # Without an answer, the caller would wait until its timeout.
             logger.opt(exception=error).error('failed', request=request.metadata.id)
-            failed = Refusal(RefusalCode.INTERNAL, 'internal', Outcome.UNKNOWN)
-            await refuse(request, failed, reply)
+            internal = Refusal(RefusalCode.INTERNAL, 'internal error', Outcome.UNKNOWN)
+            await refuse(request, internal, reply)
 
 
 async def read_body(receive: Receive, max_bytes: int) -> bytes | None:
-    """Read a whole body; None if the caller left.
+    """Read the body of a request.
+
+    Returns:
+        The body, or None if the caller disconnected.
 
     Raises:
-        Refusal: it is larger than allowed.
+        Refusal: the body exceeds `max_bytes`.
     """
     parts: list[bytes] = []
     size = 0
@@ -186,15 +207,15 @@
             return b''.join(parts)
 
 
-async def left(receive: Receive) -> None:
-    """Wait until the caller has left."""
+async def wait_for_disconnect(receive: Receive) -> None:
+    """Wait until the caller has disconnected."""
     message = await receive()
     while message['type'] != 'http.disconnect':
         message = await receive()
 
 
 def read_request(scope: dict[str, Any], body: bytes, arrived_ms: float) -> Request:
-    """Decode a request."""
+    """Build a request from an ASGI scope and the body."""
     query: bytes = scope['query_string']
     path: bytes = scope['raw_path']
     headers: Headers = list(scope['headers'])
@@ -212,7 +233,7 @@
 
 
 async def refuse(request: Request, refusal: Refusal, reply: AsgiReply) -> None:
-    """Answer with a refusal; a stream that has begun is cut instead."""
+    """Log a refusal and answer with it unless the answer has already begun."""
     logger.info(
         'refused',
         request=request.metadata.id,
@@ -238,7 +259,11 @@
 
 
 def status_of(refusal: Refusal) -> int:
-    """Give the status whose promise is true of a refusal."""
+    """Return the HTTP status of a refusal.
+
+    A status that implies that the call did not run is returned only if the
+    outcome says so.
+    """
     if refusal.code in STATUSES and refusal.outcome == Outcome.NOT_RUN:
         return STATUSES[refusal.code]
     if refusal.code == RefusalCode.DEADLINE and refusal.outcome != Outcome.NOT_RUN:
--- a/pollenwalk/connection/upstream_connection.py
+++ b/pollenwalk/connection/upstream_connection.py
@@ -1,8 +1,9 @@
-"""One HTTP/1.1 connection to an upstream host.
+"""HTTP/1.1 connections to upstream hosts.
 
-The usual client library is not used here: it sends again by itself on a kept
-connection, and it hides what an upstream sends behind a complete answer.
-Both decide whether a call has run and whom an answer belongs to.
+The HTTP client library used elsewhere does not fit here, because it resends
+requests by itself on a reused connection and hides bytes that follow a complete
+answer. Both matter for whether a call has run and which request an answer
+belongs to.
 """
 
 import asyncio
@@ -15,29 +16,38 @@
 from pollenwalk.connection.addresses import split_address
 from pollenwalk.connection.keepalive import enable_keepalive
 from pollenwalk.errors import BrokenAnswer, NotSent
-from pollenwalk.platform import headers as wire
+from pollenwalk.platform import headers as platform_headers
 from pollenwalk.request.http_messages import AnswerHead, Headers
 
-# Unread bytes at which the upstream host is made to wait.
+# Number of unread bytes above which reading from the host is paused.
 HIGH_WATER_BYTES = 262_144
-# Answers of other requests that are skipped on one connection.
-MAX_STRAY_ANSWERS = 3
+# Number of answers that are read in search of the one to the request.
+MAX_ANSWERS = 3
 
 
 class UpstreamConnection(asyncio.Protocol):
     """A connection that carries one request at a time.
 
     Attributes:
-        reusable: whether another request may follow.
-        idle_since_ms: set by the pool when the link comes back.
-        keep_alive_ms: how long the host keeps an idle connection, if it says.
+        transport: transport of the connection; None until it is made.
+        received: received bytes that the parser has not got yet.
+        changed: set when bytes arrive and when the connection ends.
+        writable: cleared while the transport's write buffer is full.
+        in_use: whether a request is in progress.
+        ended: whether the host has closed its side in order.
+        reset: whether the connection ended without an orderly close by the host.
+        reusable: whether the connection can carry another request.
+        idle_since_ms: time at which the pool got the connection back.
+        keep_alive_ms: keep-alive timeout that the host announced; None if none.
+        parser: parser of the HTTP messages.
+        request_events: the events of the current request.
     """
 
     def __init__(self) -> None:
-        """Wait for the connection to be made."""
+        """Create a connection that is not connected yet."""
         self.transport: Any = None
         self.received = bytearray()
-        self.wake = asyncio.Event()
+        self.changed = asyncio.Event()
         self.writable = asyncio.Event()
         self.writable.set()
         self.in_use = False
@@ -47,93 +57,117 @@
         self.idle_since_ms = 0.0
         self.keep_alive_ms: float | None = None
         self.parser = h11.Connection(h11.CLIENT)
-        self.sent: list[h11.Event] = []
+        self.request_events: list[h11.Event] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = transport
 
     def data_received(self, chunk: bytes) -> None:
-        """Take bytes; those that nobody waits for spoil the connection."""
+        """Buffer received bytes; close the connection if it is idle.
+
+        Bytes on an idle connection belong to no request, so that a later answer
+        could not be trusted.
+        """
         if not self.in_use:
             self.abort()
             return
         self.received += chunk
         if len(self.received) > HIGH_WATER_BYTES:
             self.transport.pause_reading()
-        self.wake.set()
+        self.changed.set()
 
     def eof_received(self) -> bool:
-        """Note an orderly end; the transport closes by itself."""
+        """Record that the host closed its side.
+
+        Returns:
+            False, which makes the transport close itself.
+        """
         self.ended = True
         self.reusable = False
-        self.wake.set()
+        self.changed.set()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note an end that is not orderly."""
+        """Record the end of the connection; it is a reset unless EOF came first."""
         self.reset = self.reset or not self.ended
         self.reusable = False
-        self.wake.set()
+        self.changed.set()
         self.writable.set()
 
     def pause_writing(self) -> None:
-        """Wait before more is written."""
+        """Make `send` wait, as the transport's write buffer is full."""
         self.writable.clear()
 
     def resume_writing(self) -> None:
-        """Write on."""
+        """Let `send` continue."""
         self.writable.set()
 
     async def send(
         self, method: bytes, target: bytes, headers: Headers, body: bytes
     ) -> None:
-        """Send one whole request.
+        """Send a request, and wait until the transport's write buffer has room.
+
+        Args:
+            method: HTTP method.
+            target: path and query.
+            headers: headers without Content-Length, which is added.
+            body: body of the request.
 
         Raises:
-            NotSent: the connection had ended before the first byte.
+            NotSent: the connection had ended before anything was sent.
         """
         if not self.reusable or self.transport.is_closing():
-            raise NotSent('the connection has ended')
+            raise NotSent('the connection had ended before the request was sent')
         self.in_use = True
         request = h11.Request(
             method=method,
             target=target,
             headers=[*headers, (b'content-length', str(len(body)).encode())],
         )
-        self.sent = [request, h11.Data(data=body), h11.EndOfMessage()]
-        payload = b''.join(self.parser.send(event) or b'' for event in self.sent)
+        self.request_events = [request, h11.Data(data=body), h11.EndOfMessage()]
+        payload = b''.join(
+            self.parser.send(event) or b'' for event in self.request_events
+        )
         self.transport.write(payload)
         await self.writable.wait()
 
     async def next_event(self) -> Any:
-        """Wait for the next event of the answer.
+        """Wait for the next event of the answer and return it.
 
         Raises:
-            BrokenAnswer: the answer ended early or is none.
+            BrokenAnswer: the connection was reset or the data is not valid HTTP.
         """
         while True:
             event = self.parse()
             if event is not h11.NEED_DATA:
                 return event
-            await self.feed()
+            await self.feed_parser()
 
     def parse(self) -> Any:
-        """Take the next event off the parser."""
+        """Return the parser's next event, which is NEED_DATA if there is none.
+
+        Raises:
+            BrokenAnswer: the received data is not valid HTTP.
+        """
         try:
             return self.parser.next_event()
         except h11.RemoteProtocolError as error:
-            raise BrokenAnswer(f'no answer in the protocol: {error}') from error
+            raise BrokenAnswer(f'invalid HTTP response: {error}') from error
+
+    async def feed_parser(self) -> None:
+        """Wait for bytes or the orderly end and pass them to the parser.
 
-    async def feed(self) -> None:
-        """Wait for bytes, or for the end, and hand them to the parser."""
+        Raises:
+            BrokenAnswer: the connection was reset or the data is not valid HTTP.
+        """
         while not self.received:
             if self.ended:
                 break
             if self.reset:
                 raise BrokenAnswer('the connection was reset')
-            self.wake.clear()
-            await self.wake.wait()
+            self.changed.clear()
+            await self.changed.wait()
         chunk = bytes(self.received)
         self.received.clear()
         if not self.transport.is_closing():
@@ -141,75 +175,95 @@
         try:
             self.parser.receive_data(chunk)
         except h11.RemoteProtocolError as error:
-            raise BrokenAnswer(f'no answer in the protocol: {error}') from error
+            raise BrokenAnswer(f'invalid HTTP response: {error}') from error
 
     async def read_head(self, request: str) -> AnswerHead:
-        """Wait for the answer to a request, skipping answers to others.
+        """Wait for the head of the answer to a request; skip other answers.
 
         Args:
-            request: the id that the answer has to bear.
+            request: id of the request. An answer that states another one is
+                skipped; one that states none is accepted.
 
         Raises:
-            BrokenAnswer: no such answer came.
+            BrokenAnswer: the connection failed, or none of the first MAX_ANSWERS
+                answers was to this request.
         """
-        for _ in range(MAX_STRAY_ANSWERS):
+        for _ in range(MAX_ANSWERS):
             found = await self.read_any_head()
             if not found.request or found.request == request:
                 return found
             self.reusable = False
             await self.read_body()
             self.expect_another_answer()
-        raise BrokenAnswer('only answers to other requests came')
+        raise BrokenAnswer('the host sent only answers to other requests')
 
     async def read_any_head(self) -> AnswerHead:
-        """Wait for the beginning of the next answer."""
+        """Wait for the head of the next answer, whichever request it is for.
+
+        Raises:
+            BrokenAnswer: the connection ended without an answer.
+        """
         event = await self.next_event()
         while isinstance(event, h11.InformationalResponse):
             event = await self.next_event()
         if not isinstance(event, h11.Response):
             raise BrokenAnswer('the connection ended without an answer')
-        found = wire.read_answer_head(event.status_code, list(event.headers))
+        found = platform_headers.read_answer_head(
+            event.status_code, list(event.headers)
+        )
         if found.keep_alive_ms is not None:
             self.keep_alive_ms = found.keep_alive_ms
         return found
 
     async def read_body(self) -> bytes:
-        """Read the rest of the answer."""
+        """Read the body of the current answer.
+
+        Raises:
+            BrokenAnswer: the body is incomplete.
+        """
         return b''.join([chunk async for chunk in self.chunks()])
 
     def expect_another_answer(self) -> None:
-        """Expect one more answer to the request that was sent."""
-        left, _ = self.parser.trailing_data
+        """Reset the parser so that it accepts another answer to the same request.
+
+        The events of the request are given to a new parser, whose output is
+        discarded, and the bytes after the last answer are parsed again.
+        """
+        trailing, _ = self.parser.trailing_data
         self.parser = h11.Connection(h11.CLIENT)
-        for event in self.sent:
+        for event in self.request_events:
             self.parser.send(event)
-        self.received = bytearray(left) + self.received
+        self.received = bytearray(trailing) + self.received
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Give the body as it comes.
+        """Yield the chunks of the answer's body as they arrive.
 
         Raises:
-            BrokenAnswer: the body ended early.
+            BrokenAnswer: the body is incomplete.
         """
         while True:
             event = await self.next_event()
             if isinstance(event, h11.EndOfMessage):
                 return
             if not isinstance(event, h11.Data):
-                raise BrokenAnswer('the connection ended inside an answer')
+                raise BrokenAnswer('the connection ended before the end of the body')
             yield bytes(event.data)
 
     def finish_exchange(self) -> bool:
-        """End an exchange whose answer was read whole.
+        """End an exchange whose answer was read to the end.
+
+        The connection is closed unless it can carry another request: the request
+        must have been sent completely, no bytes may follow the answer, and
+        neither side may have asked to close the connection.
 
         Returns:
             Whether the connection can carry another request.
         """
         self.in_use = False
-        left, _ = self.parser.trailing_data
-        spoiled = bool(left or self.received)
+        trailing, _ = self.parser.trailing_data
+        has_extra_bytes = bool(trailing or self.received)
         flushed = self.transport.get_write_buffer_size() == 0
-        if spoiled or not flushed or self.transport.is_closing():
+        if has_extra_bytes or not flushed or self.transport.is_closing():
             self.reusable = False
         if self.reusable and self.parser.our_state is h11.DONE:
             self.reusable = self.parser.their_state is h11.DONE
@@ -222,7 +276,7 @@
         return self.reusable
 
     def abort(self) -> None:
-        """End the connection at once, which stops the host's work."""
+        """Close the connection at once, upon which the host stops its work."""
         self.reusable = False
         if self.transport is not None:
             self.transport.abort()
@@ -231,18 +285,18 @@
 async def open_upstream_connection(
     address: str, timeout_s: float
 ) -> UpstreamConnection:
-    """Connect to an upstream host.
+    """Connect to an upstream host and enable TCP keep-alive.
 
     Raises:
-        NotSent: nobody answers there in time.
+        NotSent: the connection could not be made within `timeout_s`.
     """
     loop = asyncio.get_running_loop()
     ip, port = split_address(address)
     try:
         async with asyncio.timeout(timeout_s):
-            _, link = await loop.create_connection(UpstreamConnection, ip, port)
+            _, connection = await loop.create_connection(UpstreamConnection, ip, port)
     except (OSError, TimeoutError) as error:
         raise NotSent(f'{address}: {error!r}') from error
-    sock: socket.socket = link.transport.get_extra_info('socket')
+    sock: socket.socket = connection.transport.get_extra_info('socket')
     enable_keepalive(sock)
-    return link
+    return connection
--- a/pollenwalk/process/gateway_daemon.py
+++ b/pollenwalk/process/gateway_daemon.py
@@ -144,7 +144,7 @@
         started_ms = self.clock.now_ms()
         logger.info('stopping', in_progress=self.app.in_progress)
         self.gateway.stopping = True
-        self.app.closing = True
+        self.app.close_connections = True
         deadline_at_ms = started_ms + max(grace_ms - CLOSE_RESERVE_MS, 0)
         await self.clock.sleep_ms(min(BALANCER_NOTICE_MS, deadline_at_ms - started_ms))
         while self.app.in_progress and self.clock.now_ms() < deadline_at_ms:
--- a/test/connection/test_gateway_app.py
+++ b/test/connection/test_gateway_app.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from pollenwalk.connection.gateway_app import GatewayApp, Handle
+from pollenwalk.connection.gateway_app import GatewayApp, Handler
 from pollenwalk.connection.http_server import HttpServer, free_port
 from pollenwalk.errors import BrokenAnswer, Outcome, Refusal, RefusalCode
 from pollenwalk.process.clock import LoopClock
@@ -24,7 +24,7 @@
 
 
 @asynccontextmanager
-async def serving(handle: Handle) -> AsyncIterator[tuple[GatewayApp, int]]:
+async def serving(handle: Handler) -> AsyncIterator[tuple[GatewayApp, int]]:
     """Serve the application."""
     app = GatewayApp(LoopClock(), handle, lambda _: None, lambda: MOST_BYTES)
     port = free_port()
@@ -58,7 +58,7 @@
             await reply.send_complete(200, [(b'x-own', b'1')], b'hello')
 
         async with serving(handle) as (app, port):
-            app.closing = True
+            app.close_connections = True
             answer = await talk(port, REQUEST)
         request = seen[0]
         self.assertEqual(b'/p/%41?x=%20&y', request.target)
@@ -88,7 +88,7 @@
                 raise refusal  # noqa: B023
 
             async with serving(handle) as (app, port):
-                app.closing = True
+                app.close_connections = True
                 answer = await talk(port, REQUEST)
             self.assertTrue(answer.startswith(f'HTTP/1.1 {status} '.encode()), refusal)
             self.assertEqual(
@@ -104,7 +104,7 @@
         body = b'x' * (MOST_BYTES + 1)
         head = f'POST / HTTP/1.1\r\nHost: a\r\nContent-Length: {len(body)}\r\n\r\n'
         async with serving(handle) as (app, port):
-            app.closing = True
+            app.close_connections = True
             answer = await talk(port, head.encode() + body)
         self.assertTrue(answer.startswith(b'HTTP/1.1 413 '))
 
@@ -126,7 +126,7 @@
             raise ValueError('defect')
 
         async with serving(handle) as (app, port):
-            app.closing = True
+            app.close_connections = True
             answer = await talk(port, REQUEST)
         self.assertTrue(answer.startswith(b'HTTP/1.1 502 '))
 
