--- a/pollenwalk/connection/http_api.py
+++ b/pollenwalk/connection/http_api.py
@@ -1,4 +1,4 @@
-"""The callers' API over HTTP: JSON in and out, server-sent events for tokens."""
+"""The callers' API over HTTP: JSON, with server-sent events for streamed tokens."""
 
 from collections.abc import AsyncIterator
 from http import HTTPStatus
@@ -40,6 +40,7 @@
 EVENT_TYPE = 'text/event-stream'
 MS_PER_SECOND = 1000
 
+# Statuses of refusals by code; all others get 503.
 STATUSES: dict[str, HTTPStatus] = {
     RefusalCode.MALFORMED: HTTPStatus.BAD_REQUEST,
     RefusalCode.KEY_MISSING: HTTPStatus.BAD_REQUEST,
@@ -83,7 +84,7 @@
 
 
 def refusal_response(refusal: Refusal) -> Response:
-    """Turn a refusal into a problem document."""
+    """Build the response for a refusal, with a problem document as its body."""
     headers = {}
     if refusal.retry_after_ms is not None:
         seconds = -(-refusal.retry_after_ms // MS_PER_SECOND)
@@ -102,10 +103,10 @@
 
 
 async def read_body(request: Request) -> bytes:
-    """Read a bounded body.
+    """Read the body of a request.
 
     Raises:
-        Refusal: the body is too large.
+        Refusal: the body exceeds MAX_BODY_BYTES.
     """
     parts = []
     size = 0
@@ -120,19 +121,20 @@
     return b''.join(parts)
 
 
-async def read_json(request: Request, form: Any) -> Any:
-    """Read and check a JSON body.
+async def read_json(request: Request, body_type: Any) -> Any:
+    """Read a JSON body and convert it to a `TypedDict`.
 
     Raises:
-        Refusal: the body has another form.
+        Refusal: the body is too large, is not valid JSON, or has missing,
+            unknown or wrongly typed fields.
     """
     text = await read_body(request)
     try:
         body = msgspec.json.decode(text, type=dict[str, Any])
-        fields = msgspec.convert(body, form)
+        fields = msgspec.convert(body, body_type)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise Refusal(RefusalCode.MALFORMED, f'body: {error}') from error
-    unknown = sorted(body.keys() - form.__annotations__.keys())
+    unknown = sorted(body.keys() - body_type.__annotations__.keys())
     if unknown:
         raise Refusal(
             RefusalCode.MALFORMED,
@@ -142,27 +144,29 @@
 
 
 def caller_of(request: Request) -> str:
-    """Name the caller."""
+    """Return the caller's name from its header, or ANONYMOUS."""
     return request.headers.get(CALLER_HEADER, ANONYMOUS)
 
 
 def offset_of(request: Request) -> int:
-    """Read where a stream should begin.
+    """Return the number of tokens that the caller already has, 0 by default.
 
     Raises:
-        Refusal: the offset is no whole number from 0 on.
+        Refusal: the query parameter `offset` is not a non-negative integer.
     """
     text = request.query_params.get('offset', '0')
     if not text.isdecimal():
-        raise Refusal(RefusalCode.MALFORMED, f'offset: {text!r} is no number')
+        raise Refusal(
+            RefusalCode.MALFORMED, f'offset: {text!r} is not a non-negative integer'
+        )
     return int(text)
 
 
-def clamp_deadline(deadline_ms: int) -> float:
-    """Check a call's deadline.
+def check_deadline(deadline_ms: int) -> float:
+    """Return a call's deadline, in ms from now, if it is within bounds.
 
     Raises:
-        Refusal: it is out of bounds.
+        Refusal: the deadline is out of bounds.
     """
     if not 1 <= deadline_ms <= MAX_DEADLINE_MS:
         raise Refusal(
@@ -172,20 +176,20 @@
     return float(deadline_ms)
 
 
-def event(name: str, body: dict[str, Any]) -> bytes:
-    """Pack one server-sent event."""
+def encode_event(name: str, body: dict[str, Any]) -> bytes:
+    """Encode a server-sent event with a JSON body."""
     return b'event: %b\ndata: %b\n\n' % (name.encode(), msgspec.json.encode(body))
 
 
 class HeaderLimit:
-    """Refuses requests with too many bytes of headers."""
+    """ASGI middleware that refuses requests with too large headers."""
 
     def __init__(self, app: ASGIApp) -> None:
-        """Guard `app`."""
+        """Wrap `app`."""
         self.app = app
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Pass a request on unless its headers are too large."""
+        """Pass on a request unless its headers exceed MAX_HEADER_BYTES."""
         size = sum(len(name) + len(text) for name, text in scope.get('headers', ()))
         if size <= MAX_HEADER_BYTES:
             await self.app(scope, receive, send)
@@ -198,22 +202,22 @@
 
 
 class CallersApi:
-    """The HTTP routes of one entry."""
+    """The HTTP API of an entry for callers and operators."""
 
     def __init__(self, entry: Entry, metrics: EntryMetrics) -> None:
-        """Serve `entry`."""
+        """Create the API of `entry`, which counts its requests in `metrics`."""
         self.entry = entry
         self.metrics = metrics
 
     def app(self) -> Starlette:
-        """Build the application."""
+        """Build the ASGI application."""
         program = '/v1/programs/{program}'
         return Starlette(
             middleware=[Middleware(HeaderLimit)],
             routes=[
                 Route('/v1/programs', self.begin, methods=['POST']),
                 Route(f'{program}/calls', self.call, methods=['POST']),
-                Route(f'{program}/calls/{{key}}', self.kept, methods=['GET']),
+                Route(f'{program}/calls/{{key}}', self.view_call, methods=['GET']),
                 Route(program, self.view, methods=['GET']),
                 Route(program, self.end, methods=['DELETE']),
                 Route('/healthz', self.healthz),
@@ -221,13 +225,16 @@
                 Route('/metrics', self.show_metrics),
             ],
             exception_handlers={
-                PollenwalkError: self.refused,
-                ClientDisconnect: self.gone,
+                PollenwalkError: self.on_error,
+                ClientDisconnect: self.on_disconnect,
             },
         )
 
-    async def refused(self, request: Request, error: Exception) -> Response:
-        """Answer with a problem document."""
+    async def on_error(self, request: Request, error: Exception) -> Response:
+        """Answer a request that raised an error with a problem document.
+
+        An error other than a refusal becomes one with an unknown outcome.
+        """
         refusal = error
         if not isinstance(refusal, Refusal):
             logger.warning('request_failed', reason=str(error))
@@ -235,12 +242,12 @@
         self.metrics.count_refusal(refusal)
         return refusal_response(refusal)
 
-    async def gone(self, request: Request, error: Exception) -> Response:
-        """Note a caller that vanished while sending."""
+    async def on_disconnect(self, request: Request, error: Exception) -> Response:
+        """Return a response for a caller that disconnected while sending."""
         return Response(status_code=HTTPStatus.BAD_REQUEST)
 
     async def begin(self, request: Request) -> Response:
-        """`POST /v1/programs`."""
+        """Answer `POST /v1/programs`: begin a program."""
         fields = await read_json(request, BeginBody)
         message = BeginProgram(
             fields['program'],
@@ -256,7 +263,7 @@
         return JSONResponse(view.body, status_code=HTTPStatus.CREATED)
 
     async def call(self, request: Request) -> Response:
-        """`POST /v1/programs/{program}/calls`."""
+        """Answer `POST /v1/programs/{program}/calls`: run a call."""
         fields = await read_json(request, CallBody)
         program = request.path_params['program']
         wants_events = EVENT_TYPE in request.headers.get('accept', '')
@@ -272,60 +279,77 @@
                 fields['operation'],
                 fields['input'],
                 offset_of(request),
-                clamp_deadline(fields.get('deadline_ms', DEFAULT_DEADLINE_MS)),
+                check_deadline(fields.get('deadline_ms', DEFAULT_DEADLINE_MS)),
                 trace,
             )
             if wants_events:
-                return await self.stream(message)
-            return await self.whole(message)
+                return await self.call_with_events(message)
+            return await self.call_with_json(message)
+
+    async def call_with_json(self, message: CallProgram) -> Response:
+        """Run a call and return its complete answer as JSON.
 
-    async def whole(self, message: CallProgram) -> Response:
-        """Answer once, with the whole answer."""
+        Raises:
+            PollenwalkError: the call failed.
+        """
         with self.metrics.time_call():
             async for item in self.entry.routing.call(message):
                 if isinstance(item, Answer):
                     return JSONResponse(answer_body(message, item))
-        raise Refusal(RefusalCode.OUTCOME_UNKNOWN, 'no answer came')
+        raise Refusal(RefusalCode.OUTCOME_UNKNOWN, 'the call ended without an answer')
 
-    async def stream(self, message: CallProgram) -> Response:
-        """Answer with events; a refusal before the first is an HTTP error."""
+    async def call_with_events(self, message: CallProgram) -> Response:
+        """Run a call and stream its tokens and answer as server-sent events.
+
+        Raises:
+            PollenwalkError: the call failed before its first event, so that an
+                HTTP error can still be returned.
+        """
         events = self.events(message)
         first = await anext(events)
         return StreamingResponse(
-            chain(first, events),
+            prepend(first, events),
             media_type=EVENT_TYPE,
             headers={'Cache-Control': 'no-store'},
         )
 
     async def events(self, message: CallProgram) -> AsyncIterator[bytes]:
-        """Give a call's tokens and answer as events."""
+        """Run a call and yield its tokens and answer as encoded events.
+
+        A failure after the first event is yielded as an event `error`.
+
+        Raises:
+            PollenwalkError: the call failed before its first event.
+        """
         begun = False
         try:
             async for item in self.entry.routing.call(message):
                 begun = True
-                yield self.as_event(message, item)
+                yield self.encode_item(message, item)
         except PollenwalkError as error:
             if not begun:
                 raise
             refusal = error
             if not isinstance(refusal, Refusal):
                 refusal = Refusal(RefusalCode.OUTCOME_UNKNOWN, str(error))
-            yield event('error', problem_document(RefusalBody.from_refusal(refusal)))
+            yield encode_event(
+                'error', problem_document(RefusalBody.from_refusal(refusal))
+            )
 
-    def as_event(self, message: CallProgram, item: Tokens | Answer) -> bytes:
-        """Pack tokens or the answer."""
+    def encode_item(self, message: CallProgram, item: Tokens | Answer) -> bytes:
+        """Encode tokens, which are also counted, or the answer as an event."""
         if isinstance(item, Tokens):
             self.metrics.count_tokens(len(item.texts))
-            return event('tokens', {'offset': item.offset, 'texts': item.texts})
-        return event('answer', answer_body(message, item))
+            return encode_event('tokens', {'offset': item.offset, 'texts': item.texts})
+        return encode_event('answer', answer_body(message, item))
 
     async def view(self, request: Request) -> Response:
-        """`GET /v1/programs/{program}`."""
+        """Answer `GET /v1/programs/{program}`: the state of a program."""
         message = ViewProgram(request.path_params['program'])
         return JSONResponse((await self.entry.routing.view(message)).body)
 
-    async def kept(self, request: Request) -> Response:
-        """`GET /v1/programs/{program}/calls/{key}`."""
+    async def view_call(self, request: Request) -> Response:
+        """Answer `GET /v1/programs/{program}/calls/{key}`: the stored answer."""
         message = ViewCall(
             request.path_params['program'],
             request.path_params['key'],
@@ -333,22 +357,22 @@
         return JSONResponse((await self.entry.routing.view(message)).body)
 
     async def end(self, request: Request) -> Response:
-        """`DELETE /v1/programs/{program}`."""
+        """Answer `DELETE /v1/programs/{program}`: end a program."""
         message = EndProgram(request.path_params['program'])
         return JSONResponse((await self.entry.routing.view(message)).body)
 
     async def healthz(self, request: Request) -> Response:
-        """Tell that the process answers."""
+        """Answer `GET /healthz`: the process is running."""
         return JSONResponse({'status': 'ok'})
 
     async def readyz(self, request: Request) -> Response:
-        """Tell whether calls can be taken."""
+        """Answer `GET /readyz`: 200 if the entry can serve calls, else 503."""
         ready = self.entry.ready and not self.entry.stopping and self.can_serve()
         status = HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE
         return JSONResponse({'ready': ready}, status_code=status)
 
     def can_serve(self) -> bool:
-        """Tell whether programs are declared and their upstreams report."""
+        """Return whether programs are declared and all their upstreams have available hosts."""
         names = [
             name
             for spec in self.entry.config.specs.values()
@@ -360,27 +384,27 @@
         )
 
     async def show_metrics(self, request: Request) -> Response:
-        """Show the metrics in the Prometheus text format."""
+        """Answer `GET /metrics` in the Prometheus text format."""
         body, media_type = self.metrics.render(self.entry)
         return Response(body, media_type=media_type)
 
 
 def check_begin(message: BeginProgram) -> None:
-    """Check a beginning's numbers.
+    """Check the budget and the deadline of a program to begin.
 
     Raises:
-        Refusal: one is out of bounds.
+        Refusal: one of them is less than 1.
     """
     for name, number in (
         ('budget', message.budget),
         ('deadline_ms', message.deadline_ms),
     ):
         if number is not None and number < 1:
-            raise Refusal(RefusalCode.MALFORMED, f'{name} must be from 1 on')
+            raise Refusal(RefusalCode.MALFORMED, f'{name} must be at least 1')
 
 
 def answer_body(message: CallProgram, answer: Answer) -> dict[str, Any]:
-    """Show an answer."""
+    """Return the JSON object for a call's answer."""
     return {
         'key': message.key,
         'sequence': message.sequence,
@@ -390,11 +414,11 @@
     }
 
 
-async def chain(
+async def prepend(
     first: bytes,
     rest: AsyncIterator[bytes],
 ) -> AsyncIterator[bytes]:
-    """Give one event and those that follow."""
+    """Yield `first`, then the items of `rest`."""
     yield first
     async for following in rest:
         yield following
