--- a/pollenwalk/connection/channel.py
+++ b/pollenwalk/connection/channel.py
@@ -53,7 +53,7 @@
 
 
 class Network(StreamNetwork, Protocol):
-    """A network with channels for requests, and datagrams for reports and heartbeats."""
+    """A network with channels, and datagrams for load reports and heartbeats."""
 
     async def bind(self, address: str, handler: DatagramHandler) -> Listener:
         """Receive datagrams on `ip:port` and call `handler` for each of them.
--- a/pollenwalk/connection/http_api.py
+++ b/pollenwalk/connection/http_api.py
@@ -372,7 +372,7 @@
         return JSONResponse({'ready': ready}, status_code=status)
 
     def can_serve(self) -> bool:
-        """Return whether programs are declared and all their upstreams have available hosts."""
+        """Return whether programs are declared and their upstreams have hosts."""
         names = [
             name
             for spec in self.entry.config.specs.values()
--- a/test/connection/__init__.py
+++ b/test/connection/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what lives as long as a connection."""
+"""Tests of connections to peers, callers and upstreams."""
--- a/test/connection/test_contracts.py
+++ b/test/connection/test_contracts.py
@@ -1,4 +1,8 @@
-"""One contract an interface, held to by the stand-in and the HTTP client."""
+"""Tests that the stand-ins and the HTTP clients implement the same contracts.
+
+Each contract is checked against the in-memory stand-in and against the HTTP
+client that talks to the same stand-in over a socket.
+"""
 
 import asyncio
 from typing import Any, NamedTuple
@@ -36,7 +40,7 @@
 
 
 async def serve(app: Starlette) -> tuple[HttpServer, str]:
-    """Serve an application and give its URL."""
+    """Start serving an application; return the server and its URL."""
     port = free_port()
     server = HttpServer(app, '127.0.0.1', port)
     await server.start()
@@ -44,7 +48,7 @@
 
 
 class StoreFault(NamedTuple):
-    """A fault of the store, and whether a write under it takes effect."""
+    """A fault of the store, and whether a write during the fault takes effect."""
 
     name: str
     faults: Faults
@@ -59,15 +63,15 @@
 
 
 class StoreContract(testtools.TestCase):
-    """The object store, in memory and over HTTP."""
+    """Tests of the object store."""
 
     async def check(self, store: ObjectStore, inner: MemoryStore) -> None:
-        """Hold one store to the contract."""
+        """Check reads, conditional writes, lists, watches and faults of a store."""
         self.assertIsNone(await store.get('a/1'))
         first = await store.put('a/1', b'\x00one', ABSENT)
         self.assertEqual((b'\x00one', first), (await store.get('a/1'))[1:])
-        await self.refuses(store, 'a/1', ABSENT)
-        await self.refuses(store, 'a/1', first + 100)
+        await self.check_conflict(store, 'a/1', ABSENT)
+        await self.check_conflict(store, 'a/1', first + 100)
         second = await store.put('a/1', b'two', first)
         self.assertGreater(second, first)
         await store.put('a/2', b'', None)
@@ -84,8 +88,8 @@
         for case in STORE_FAULTS:
             await self.check_fault(store, inner, case)
 
-    async def refuses(self, store: ObjectStore, key: str, version: int) -> None:
-        """See that a conditional write meets a conflict."""
+    async def check_conflict(self, store: ObjectStore, key: str, version: int) -> None:
+        """Check that a conditional write is rejected as a conflict."""
         with testtools.ExpectedException(StoreConflict):
             await store.put(key, b'other', version)
 
@@ -95,7 +99,7 @@
         inner: MemoryStore,
         case: StoreFault,
     ) -> None:
-        """See what a write does under a fault."""
+        """Check whether a write during a fault takes effect, and a retry after it."""
         key = f'fault/{case.name}'
         inner.faults = case.faults
         with testtools.ExpectedException(StoreUnavailable):
@@ -103,8 +107,8 @@
         inner.faults = Faults()
         present = await store.get(key)
         self.assertEqual(case.takes_effect, present is not None, case.name)
-        again = await create_once(store, LoopClock(), key, b'1')
-        self.assertTrue(again, case.name)
+        created = await create_once(store, LoopClock(), key, b'1')
+        self.assertTrue(created, case.name)
 
     @on_loop
     async def test_in_memory(self) -> None:
@@ -119,24 +123,26 @@
         await self.check(store, inner)
         await store.close()
         await server.stop()
-        gone = HttpStore(url)
+        stopped = HttpStore(url)
         with testtools.ExpectedException(StoreUnavailable):
-            await gone.get('a/1')
-        await gone.close()
+            await stopped.get('a/1')
+        await stopped.close()
 
 
 class EngineContract(testtools.TestCase):
-    """The model engine, in memory and over HTTP."""
+    """Tests of the model engine."""
 
     async def check(self, engine: Any, inner: ModelEngine) -> None:
-        """Hold one engine to the contract."""
+        """Check calls, resumption, the cache, cancellation and faults of an engine."""
         items = [item async for item in engine.chat(REQUEST)]
         texts = [text for item in items[:-1] for text in item.texts]
         self.assertEqual(3, len(texts))
         self.assertEqual(''.join(texts), items[-1].output['text'])
-        again = [item async for item in engine.resume('c1', 1)]
-        self.assertEqual(texts[1:], [text for one in again[:-1] for text in one.texts])
-        self.assertEqual(1, again[0].offset)
+        resumed = [item async for item in engine.resume('c1', 1)]
+        self.assertEqual(
+            texts[1:], [text for item in resumed[:-1] for text in item.texts]
+        )
+        self.assertEqual(1, resumed[0].offset)
         self.assertIn('p1', await engine.list_cache())
         await engine.release_memory('p1')
         await engine.release_memory('p1')
@@ -151,7 +157,7 @@
             await engine.list_cache()
 
     def make(self) -> ModelEngine:
-        """Make a quick engine."""
+        """Create an engine with a short decoding step."""
         return ModelEngine(EngineShape(step_ms=1), LoopClock(), Ledger())
 
     @on_loop
@@ -171,9 +177,9 @@
         await server.stop()
 
     @on_loop
-    async def test_bad_engines(self) -> None:
-        for name, body, status, expected in BAD_ENGINES:
-            server, url = await serve(answering(body, status))
+    async def test_faulty_engines(self) -> None:
+        for name, body, status, expected in FAULTY_ENGINES:
+            server, url = await serve(fixed_answer_app(body, status))
             engine = HttpEngine(url)
             error = await failure_of(engine)
             self.assertIsInstance(error, expected, name)
@@ -181,7 +187,8 @@
             await server.stop()
 
 
-BAD_ENGINES = (
+# Name, body and status of an engine's answer, and the error that must follow.
+FAULTY_ENGINES = (
     ('garbage', b'data: {"choices": 7}\n\n', 200, Refusal),
     ('no JSON', b'data: <html>\n\n', 200, Refusal),
     ('ends early', b'data: {"choices": []}\n\n', 200, type(None)),
@@ -193,7 +200,7 @@
 
 
 async def failure_of(engine: HttpEngine) -> PollenwalkError | None:
-    """Make a call and give how it failed."""
+    """Make a call and return its error, or None if the stream ended without one."""
     try:
         answers = [item async for item in engine.chat(REQUEST)]
     except PollenwalkError as error:
@@ -202,8 +209,8 @@
     return None
 
 
-def answering(body: bytes, status: int) -> Starlette:
-    """Make an upstream that always answers the same."""
+def fixed_answer_app(body: bytes, status: int) -> Starlette:
+    """Build an application that gives the same answer to every request."""
 
     async def answer(request: Request) -> Response:
         async def parts() -> Any:
@@ -216,7 +223,8 @@
     return Starlette(routes=[Route('/{path:path}', answer, methods=['GET', 'POST'])])
 
 
-BAD_SERVICES = (
+# Name, body and status of a service's answer, and the outcome that must follow.
+FAULTY_SERVICES = (
     ('not found', b'', 404, 'not_run'),
     ('busy', b'', 503, 'not_run'),
     ('failing', b'', 500, 'unknown'),
@@ -227,20 +235,20 @@
 
 
 class ServiceContract(testtools.TestCase):
-    """The plain service, in memory and over HTTP."""
+    """Tests of the plain service."""
 
     async def check(self, service: Any, inner: PlainService) -> None:
-        """Hold one service to the contract."""
+        """Check calls, a refused call and a lost answer of a service."""
         first = await service.invoke('c1', 'reserve', {'tag': 'p#1'})
         second = await service.invoke('c2', 'order', {'tag': 'p#2'})
         self.assertEqual([1, 2], [first['execution'], second['execution']])
         inner.refuse = 1
-        await self.fails(service, 'not_run')
+        await self.check_failure(service, 'not_run')
         inner.lose_answers = 1
-        await self.fails(service, 'unknown')
+        await self.check_failure(service, 'unknown')
 
-    async def fails(self, service: Any, outcome: str) -> None:
-        """See that a call is refused with an outcome."""
+    async def check_failure(self, service: Any, outcome: str) -> None:
+        """Check that a call fails with an outcome."""
         try:
             await service.invoke('c3', 'order', {'tag': 'p#3'})
         except Refusal as refusal:
@@ -263,9 +271,9 @@
         await server.stop()
 
     @on_loop
-    async def test_bad_services(self) -> None:
-        for name, body, status, outcome in BAD_SERVICES:
-            server, url = await serve(answering(body, status))
+    async def test_faulty_services(self) -> None:
+        for name, body, status, outcome in FAULTY_SERVICES:
+            server, url = await serve(fixed_answer_app(body, status))
             service = HttpService(url)
             try:
                 await service.invoke('c1', 'order', {})
@@ -289,10 +297,10 @@
 
 
 class HostsContract(testtools.TestCase):
-    """The platform's list of hosts."""
+    """Tests of the client of the platform's list of hosts."""
 
     @on_loop
-    async def test_lag_and_garbage(self) -> None:
+    async def test_lagging_and_invalid_lists(self) -> None:
         clock = LoopClock()
         inner = ListedHosts(clock)
         server, url = await serve(HostsApi(inner).app())
@@ -304,7 +312,7 @@
         await hosts.close()
         await server.stop()
         for body, status in ((b'[]', 200), (b'x', 200), (b'', 500)):
-            server, url = await serve(answering(body, status))
+            server, url = await serve(fixed_answer_app(body, status))
             hosts = HttpHosts(url)
             with testtools.ExpectedException(ConnectionLost):
                 await hosts.fetch_leaving()
--- a/test/connection/test_gateway_app.py
+++ b/test/connection/test_gateway_app.py
@@ -1,4 +1,4 @@
-"""What callers see of the gateway, byte for byte."""
+"""Tests of the gateway's answers to HTTP requests, at the level of bytes."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -19,14 +19,15 @@
     b'X-Pollenwalk-Request-Id: r1\r\nConnection: keep-alive, X-Hop\r\n'
     b'X-Hop: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n'
 )
-LEFT_S = 0.5
-MOST_BYTES = 100
+# Time within which a request must be cancelled after its caller left.
+CANCEL_TIMEOUT_S = 0.5
+MAX_BODY_BYTES = 100
 
 
 @asynccontextmanager
 async def serving(handle: Handler) -> AsyncIterator[tuple[GatewayApp, int]]:
-    """Serve the application."""
-    app = GatewayApp(LoopClock(), handle, lambda _: None, lambda: MOST_BYTES)
+    """Serve the application; yield it and its port."""
+    app = GatewayApp(LoopClock(), handle, lambda _: None, lambda: MAX_BODY_BYTES)
     port = free_port()
     server = HttpServer(app, '127.0.0.1', port)
     await server.start()
@@ -36,18 +37,18 @@
         await server.stop()
 
 
-async def talk(port: int, raw: bytes) -> bytes:
-    """Send bytes and read until the gateway closes."""
+async def exchange(port: int, raw: bytes) -> bytes:
+    """Send bytes and return what arrives until the gateway closes."""
     reader, writer = await asyncio.open_connection('127.0.0.1', port)
     writer.write(raw)
     async with asyncio.timeout(5):
-        found = await reader.read()
+        received = await reader.read()
     writer.close()
-    return found
+    return received
 
 
 class GatewayAppTest(testtools.TestCase):
-    """Requests in, answers out."""
+    """Tests of requests over a socket."""
 
     @on_loop
     async def test_a_request_arrives_unchanged(self) -> None:
@@ -59,7 +60,7 @@
 
         async with serving(handle) as (app, port):
             app.close_connections = True
-            answer = await talk(port, REQUEST)
+            answer = await exchange(port, REQUEST)
         request = seen[0]
         self.assertEqual(b'/p/%41?x=%20&y', request.target)
         self.assertEqual(b'abcde', request.body)
@@ -70,7 +71,7 @@
         self.assertTrue(answer.endswith(b'\r\n\r\nhello'))
 
     @on_loop
-    async def test_statuses_keep_their_promise(self) -> None:
+    async def test_statuses_match_the_outcomes(self) -> None:
         cases = (
             (Refusal(RefusalCode.NO_UPSTREAM, '', retry_after_ms=250), 503),
             (Refusal(RefusalCode.UPSTREAM_FAILED, '', Outcome.UNKNOWN), 502),
@@ -89,7 +90,7 @@
 
             async with serving(handle) as (app, port):
                 app.close_connections = True
-                answer = await talk(port, REQUEST)
+                answer = await exchange(port, REQUEST)
             self.assertTrue(answer.startswith(f'HTTP/1.1 {status} '.encode()), refusal)
             self.assertEqual(
                 refusal.retry_after_ms is not None,
@@ -97,41 +98,41 @@
             )
 
     @on_loop
-    async def test_a_body_that_is_too_large(self) -> None:
+    async def test_a_too_large_body_is_refused(self) -> None:
         async def handle(_: Request, reply: Reply) -> None:
             raise AssertionError('handled')
 
-        body = b'x' * (MOST_BYTES + 1)
+        body = b'x' * (MAX_BODY_BYTES + 1)
         head = f'POST / HTTP/1.1\r\nHost: a\r\nContent-Length: {len(body)}\r\n\r\n'
         async with serving(handle) as (app, port):
             app.close_connections = True
-            answer = await talk(port, head.encode() + body)
+            answer = await exchange(port, head.encode() + body)
         self.assertTrue(answer.startswith(b'HTTP/1.1 413 '))
 
     @on_loop
-    async def test_a_broken_stream_has_no_end(self) -> None:
+    async def test_a_broken_stream_is_left_incomplete(self) -> None:
         async def handle(_: Request, reply: Reply) -> None:
             await reply.start(200, [])
             await reply.write(b'part')
             raise BrokenAnswer('cut')
 
         async with serving(handle) as (_, port):
-            answer = await talk(port, REQUEST)
+            answer = await exchange(port, REQUEST)
         self.assertIn(b'part', answer)
         self.assertFalse(answer.endswith(b'0\r\n\r\n'))
 
     @on_loop
-    async def test_a_defect_promises_nothing(self) -> None:
+    async def test_an_unexpected_error_has_an_unknown_outcome(self) -> None:
         async def handle(_: Request, reply: Reply) -> None:
             raise ValueError('defect')
 
         async with serving(handle) as (app, port):
             app.close_connections = True
-            answer = await talk(port, REQUEST)
+            answer = await exchange(port, REQUEST)
         self.assertTrue(answer.startswith(b'HTTP/1.1 502 '))
 
     @on_loop
-    async def test_a_caller_that_leaves_ends_the_work(self) -> None:
+    async def test_a_request_is_cancelled_if_its_caller_leaves(self) -> None:
         ended = asyncio.Event()
 
         async def handle(_: Request, reply: Reply) -> None:
@@ -145,5 +146,5 @@
             writer.write(REQUEST)
             await asyncio.sleep(0.05)
             writer.close()
-            async with asyncio.timeout(LEFT_S):
+            async with asyncio.timeout(CANCEL_TIMEOUT_S):
                 await ended.wait()
--- a/test/connection/test_peer.py
+++ b/test/connection/test_peer.py
@@ -1,4 +1,4 @@
-"""Exchanges between processes: faults of the other side."""
+"""Tests of requests between processes when the peer or the network fails."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -24,31 +24,31 @@
 from test.helper import virtual
 
 ADDRESS = 'server:1'
-HERE = Place('rimouski', 'est')
+PLACE = Place('rimouski', 'est')
 
 
 class Pair:
     """A client and a server on a virtual network."""
 
     def __init__(self, handler: Any) -> None:
-        """Serve `handler`."""
+        """Create a server that answers with `handler`, and a client of it."""
         self.fabric = Fabric()
-        self.client_node = Node('client', HERE)
-        self.server_node = Node('server', HERE)
+        self.client_node = Node('client', PLACE)
+        self.server_node = Node('server', PLACE)
         self.clock = NodeClock(self.client_node)
         self.network = VirtualNetwork(self.fabric, self.client_node)
         self.server = PeerServer(NodeClock(self.server_node), handler, 'boot')
         self.peer = Peer(ADDRESS, self.network, self.clock, TaskSet())
 
     async def start(self) -> 'Pair':
-        """Listen."""
+        """Make the server listen."""
         network = VirtualNetwork(self.fabric, self.server_node)
         await network.listen(ADDRESS, self.server.serve)
         return self
 
 
 async def answer(hello: Hello, message: Any) -> AsyncIterator[Any]:
-    """Stream tokens, refuse, hang, or answer, by the kind of question."""
+    """Stream tokens, refuse, hang or answer, depending on the kind of request."""
     if isinstance(message, Settle):
         for number, text in enumerate(message.calls):
             yield Tokens(number, [text])
@@ -61,34 +61,34 @@
 
 
 class PeerTest(testtools.TestCase):
-    """One pair for each test."""
+    """Tests of requests; each uses a new pair of processes."""
 
     @virtual
-    async def test_streams_in_order(self) -> None:
+    async def test_answers_arrive_in_order(self) -> None:
         pair = await Pair(answer).start()
         texts = [str(number) for number in range(50)]
-        found = [one.texts[0] async for one in pair.peer.stream(Settle(texts))]
-        self.assertEqual(texts, found)
+        received = [tokens.texts[0] async for tokens in pair.peer.stream(Settle(texts))]
+        self.assertEqual(texts, received)
 
     @virtual
-    async def test_refusal_keeps_its_parts(self) -> None:
+    async def test_refusal_is_transferred_completely(self) -> None:
         pair = await Pair(answer).start()
         try:
             await pair.peer.request(Drain(), 1000)
         except Refusal as refusal:
-            found = (refusal.code, refusal.retry_after_ms, refusal.outcome)
-            self.assertEqual((RefusalCode.STOPPING, 7, 'not_run'), found)
+            received = (refusal.code, refusal.retry_after_ms, refusal.outcome)
+            self.assertEqual((RefusalCode.STOPPING, 7, 'not_run'), received)
         else:
             self.fail('no refusal')
 
     @virtual
-    async def test_nobody_listens(self) -> None:
+    async def test_nothing_listens(self) -> None:
         pair = Pair(answer)
         with testtools.ExpectedException(ConnectionLost):
             await pair.peer.request(Done(), 1000)
 
     @virtual
-    async def test_silence_is_noticed(self) -> None:
+    async def test_request_times_out_during_partition(self) -> None:
         pair = await Pair(answer).start()
         await pair.peer.ensure_connected()
         pair.fabric.cut('client', 'server')
@@ -98,7 +98,7 @@
         self.assertEqual(Done(), await pair.peer.request(Done(), 10_000))
 
     @virtual
-    async def test_connects_again_with_a_later_epoch(self) -> None:
+    async def test_reconnecting_increases_the_epoch(self) -> None:
         pair = await Pair(answer).start()
         first = await pair.peer.ensure_connected()
         await first.channel.close()
@@ -108,7 +108,7 @@
         self.assertEqual(2, pair.peer.epoch)
 
     @virtual
-    async def test_other_version_is_refused(self) -> None:
+    async def test_other_protocol_version_is_refused(self) -> None:
         pair = await Pair(answer).start()
         channel = await pair.network.connect(ADDRESS)
         connection = Connection(channel, pair.clock, TaskSet())
@@ -119,17 +119,17 @@
             await connection.request(Done())
 
     @virtual
-    async def test_noise_ends_the_channel(self) -> None:
-        for noise in (b'', b'\xff' * 40, encode_frames([])[:0] + b'\x93'):
+    async def test_invalid_frames_end_the_channel(self) -> None:
+        for invalid in (b'', b'\xff' * 40, encode_frames([])[:0] + b'\x93'):
             pair = await Pair(answer).start()
             channel = await pair.network.connect(ADDRESS)
-            await channel.send(noise)
+            await channel.send(invalid)
             with testtools.ExpectedException(ConnectionLost):
                 await channel.receive()
             self.assertEqual(Done(), await pair.peer.request(Done(), 1000))
 
     @virtual
-    async def test_question_before_greeting_ends_the_channel(self) -> None:
+    async def test_request_before_handshake_ends_the_channel(self) -> None:
         pair = await Pair(answer).start()
         channel = await pair.network.connect(ADDRESS)
         connection = Connection(channel, pair.clock, TaskSet())
--- a/test/connection/test_upstream_connection.py
+++ b/test/connection/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""What an upstream host may send, and what becomes of its connection."""
+"""Tests of what an upstream host may send and whether its connection is reused."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -25,14 +25,14 @@
 from test.helper import on_loop
 
 ID = 'r1'
-# Ample for a few bytes over loopback.
+# Time in which a few bytes reliably arrive over loopback.
 ARRIVAL_S = 0.05
-OTHER = Received('GET', '/', {'x-pollenwalk-request-id': 'another'}, b'')
-Doing = Callable[[Line, Received], Awaitable[None]]
+OTHER_REQUEST = Received('GET', '/', {'x-pollenwalk-request-id': 'another'}, b'')
+Script = Callable[[Line, Received], Awaitable[None]]
 
 
-def says(*parts: Callable[[Received], bytes] | bytes) -> Doing:
-    """Write some bytes one after the other."""
+def sends(*parts: Callable[[Received], bytes] | bytes) -> Script:
+    """Return a script that sends these parts; functions get the request."""
 
     async def script(line: Line, request: Received) -> None:
         for part in parts:
@@ -41,8 +41,8 @@
     return script
 
 
-def then_close(script: Doing) -> Doing:
-    """End the connection in order after a script."""
+def then_close(script: Script) -> Script:
+    """Return a script that runs another one, then closes the connection orderly."""
 
     async def closing(line: Line, request: Received) -> None:
         await script(line, request)
@@ -52,8 +52,8 @@
     return closing
 
 
-def then_reset(script: Doing) -> Doing:
-    """End the connection without order after a script."""
+def then_reset(script: Script) -> Script:
+    """Return a script that runs another one, then resets the connection."""
 
     async def resetting(line: Line, request: Received) -> None:
         await script(line, request)
@@ -63,8 +63,8 @@
     return resetting
 
 
-def no_length(request: Received) -> bytes:
-    """Begin an answer that ends with its connection."""
+def answer_without_length(request: Received) -> bytes:
+    """Return an answer without Content-Length, so that it ends with the connection."""
     return (
         b'HTTP/1.1 200 OK\r\nX-Pollenwalk-Request-Id: '
         + request.id.encode()
@@ -75,86 +75,96 @@
 
 
 class Case(NamedTuple):
-    """What a host does.
+    """The behaviour of a host and its expected effect.
 
     Attributes:
-        name: of the case.
-        script: of the host.
-        body: what must arrive; None where the answer must count as broken.
+        name: name of the case.
+        script: what the host sends for a request.
+        body: body that must be received; None if `BrokenAnswer` must be raised.
         reusable: whether the connection may carry another request.
     """
 
     name: str
-    script: Doing
+    script: Script
     body: bytes | None
     reusable: bool
 
 
 CASES = (
-    Case('whole', says(answer), b'hello', True),
-    Case('chunked', says(stream_head, chunk(b'hello'), chunk(b'')), b'hello', True),
-    Case('ended by its connection', then_close(says(no_length)), b'hello', False),
-    Case('reset instead of its end', then_reset(says(no_length)), None, False),
+    Case('complete', sends(answer), b'hello', True),
+    Case('chunked', sends(stream_head, chunk(b'hello'), chunk(b'')), b'hello', True),
     Case(
-        'cut by its length',
-        then_close(says(lambda request: answer(request)[:-2])),
+        'ended by closing the connection',
+        then_close(sends(answer_without_length)),
+        b'hello',
+        False,
+    ),
+    Case(
+        'reset before the end',
+        then_reset(sends(answer_without_length)),
+        None,
+        False,
+    ),
+    Case(
+        'shorter than its length',
+        then_close(sends(lambda request: answer(request)[:-2])),
         None,
         False,
     ),
     Case(
-        'cut between chunks',
-        then_close(says(stream_head, chunk(b'hello'))),
+        'closed between chunks',
+        then_close(sends(stream_head, chunk(b'hello'))),
         None,
         False,
     ),
-    Case('no answer', then_close(says(b'')), None, False),
-    Case('reset at once', then_reset(says(b'')), None, False),
-    Case('not in the protocol', says(b'\x16\x03\x01 what\r\n\r\n'), None, False),
+    Case('no answer', then_close(sends(b'')), None, False),
+    Case('reset at once', then_reset(sends(b'')), None, False),
+    Case('not HTTP', sends(b'\x16\x03\x01 what\r\n\r\n'), None, False),
     Case(
         "another request's answer first",
-        says(answer(OTHER, b'wrong'), answer),
+        sends(answer(OTHER_REQUEST, b'wrong'), answer),
         b'hello',
         False,
     ),
     Case(
         "only other requests' answers",
-        then_close(says(answer(OTHER, b'wrong'))),
+        then_close(sends(answer(OTHER_REQUEST, b'wrong'))),
         None,
         False,
     ),
-    Case('bytes behind the answer', says(answer, b'HTTP/1.1 200'), b'hello', False),
+    Case('bytes after the answer', sends(answer, b'HTTP/1.1 200'), b'hello', False),
     Case(
-        'a second answer behind the first',
-        says(answer, lambda request: answer(request, b'twice')),
+        'a second answer after the first',
+        sends(answer, lambda request: answer(request, b'twice')),
         b'hello',
         False,
     ),
     Case(
         'leaving',
-        says(lambda request: answer(request, more=SIGNED + b'Connection: close\r\n')),
+        sends(lambda request: answer(request, more=SIGNED + b'Connection: close\r\n')),
         b'hello',
         False,
     ),
-    Case('not run', says(not_run), b'', True),
+    Case('not run', sends(not_run), b'', True),
 )
 
 
-async def ask(link: UpstreamConnection) -> bytes:
-    """Send one request and read the whole answer."""
-    await link.send(
+async def request_body(connection: UpstreamConnection) -> bytes:
+    """Send a request and return the body of its answer."""
+    await connection.send(
         b'POST',
         b'/p/1?x=%20',
         [(b'host', b'h'), (b'x-pollenwalk-request-id', ID.encode())],
         b'input',
     )
-    await link.read_head(ID)
-    return b''.join([part async for part in link.chunks()])
+    await connection.read_head(ID)
+    return b''.join([part async for part in connection.chunks()])
 
 
 class AnswersTest(testtools.TestCase):
-    """Every way an answer can come or not come."""
+    """Tests of complete, broken and unexpected answers."""
 
-    def test_all(self) -> None:
+    def test_all_cases(self) -> None:
         for case in CASES:
             with self.subTest(case.name):
                 self.check(case)
@@ -163,24 +173,26 @@
     async def run_case(self, case: Case) -> None:
         host = ScriptedHost('i-1', case.script)
         listed = await host.start()
-        link = await open_upstream_connection(listed.address, 1)
+        connection = await open_upstream_connection(listed.address, 1)
         try:
-            body = await ask(link)
+            body = await request_body(connection)
         except BrokenAnswer:
             self.assertIsNone(case.body, case.name)
-            link.abort()
+            connection.abort()
         else:
             self.assertEqual(case.body, body, case.name)
-            self.assertEqual(case.reusable, link.finish_exchange(), case.name)
-        self.assertEqual([b'input'], [one.body for one in host.received])
-        self.assertEqual(['/p/1?x=%20'], [one.target for one in host.received])
+            self.assertEqual(case.reusable, connection.finish_exchange(), case.name)
+        self.assertEqual([b'input'], [received.body for received in host.received])
+        self.assertEqual(
+            ['/p/1?x=%20'], [received.target for received in host.received]
+        )
         host.stop()
 
     def check(self, case: Case) -> None:
         self.run_case(case)
 
     @on_loop
-    async def test_bytes_while_idle_spoil_the_connection(self) -> None:
+    async def test_bytes_while_idle_prevent_reuse(self) -> None:
         lines: list[Line] = []
 
         async def script(line: Line, request: Received) -> None:
@@ -188,29 +200,29 @@
             line.say(answer(request))
 
         host = ScriptedHost('i-1', script)
-        link = await open_upstream_connection((await host.start()).address, 1)
-        await ask(link)
-        self.assertTrue(link.finish_exchange())
-        lines[0].say(answer(OTHER, b'late'))
+        connection = await open_upstream_connection((await host.start()).address, 1)
+        await request_body(connection)
+        self.assertTrue(connection.finish_exchange())
+        lines[0].say(answer(OTHER_REQUEST, b'late'))
         await asyncio.sleep(ARRIVAL_S)
-        self.assertFalse(link.reusable)
+        self.assertFalse(connection.reusable)
         with testtools.ExpectedException(NotSent):
-            await ask(link)
+            await request_body(connection)
         host.stop()
 
     @on_loop
     async def test_second_request_on_one_connection(self) -> None:
-        host = ScriptedHost('i-1', says(answer))
-        link = await open_upstream_connection((await host.start()).address, 1)
+        host = ScriptedHost('i-1', sends(answer))
+        connection = await open_upstream_connection((await host.start()).address, 1)
         for _ in range(2):
-            self.assertEqual(b'hello', await ask(link))
-            self.assertTrue(link.finish_exchange())
+            self.assertEqual(b'hello', await request_body(connection))
+            self.assertTrue(connection.finish_exchange())
         self.assertEqual(1, host.connections)
         host.stop()
 
     @on_loop
-    async def test_nobody_listens(self) -> None:
-        host = ScriptedHost('i-1', says(answer))
+    async def test_nothing_listens(self) -> None:
+        host = ScriptedHost('i-1', sends(answer))
         listed = await host.start()
         host.stop()
         with testtools.ExpectedException(NotSent):
@@ -223,9 +235,9 @@
             await line.gone()
 
         host = ScriptedHost('i-1', script)
-        link = await open_upstream_connection((await host.start()).address, 1)
-        await link.send(b'POST', b'/', [(b'host', b'h')], b'')
-        await link.read_head(ID)
-        self.assertEqual(event(1), await anext(link.chunks()))
-        link.abort()
+        connection = await open_upstream_connection((await host.start()).address, 1)
+        await connection.send(b'POST', b'/', [(b'host', b'h')], b'')
+        await connection.read_head(ID)
+        self.assertEqual(event(1), await anext(connection.chunks()))
+        connection.abort()
         host.stop()
--- a/test/connection/test_wire.py
+++ b/test/connection/test_wire.py
@@ -1,4 +1,4 @@
-"""The wire codec takes what it made and refuses noise."""
+"""Tests that encoded messages can be decoded and invalid data is refused."""
 
 import hypothesis
 import msgspec
@@ -21,7 +21,7 @@
 
 
 class WireTest(testtools.TestCase):
-    """Messages between processes."""
+    """Tests of the encoding of messages, engine streams and journal records."""
 
     def test_round_trip(self) -> None:
         for message in EXAMPLES:
@@ -35,18 +35,18 @@
 
     @hypothesis.settings(derandomize=True, max_examples=300, database=None)
     @hypothesis.given(strategies.binary(max_size=200))
-    def test_noise_is_refused(self, noise: bytes) -> None:
+    def test_random_bytes_are_refused(self, payload: bytes) -> None:
         for decode in (wire.decode_frames, wire.decode_datagram):
             try:
-                decode(noise)
+                decode(payload)
             except Refusal:
                 continue
 
     @hypothesis.settings(derandomize=True, max_examples=200, database=None)
     @hypothesis.given(strategies.integers(0, 40), strategies.integers(0, 255))
-    def test_damaged_message_is_refused(self, place: int, byte: int) -> None:
+    def test_damaged_message_is_refused(self, position: int, byte: int) -> None:
         payload = bytearray(wire.encode_datagram(EXAMPLES[0]))
-        payload[place % len(payload)] = byte
+        payload[position % len(payload)] = byte
         try:
             wire.decode_datagram(bytes(payload))
         except Refusal:
@@ -54,17 +54,17 @@
 
     @hypothesis.settings(derandomize=True, max_examples=200, database=None)
     @hypothesis.given(strategies.binary(max_size=100))
-    def test_engine_noise_is_refused(self, noise: bytes) -> None:
+    def test_random_bytes_of_an_engine_are_refused(self, payload: bytes) -> None:
         try:
-            EngineStreamParser().parse_line(b'data: ' + noise)
+            EngineStreamParser().parse_line(b'data: ' + payload)
         except Refusal:
             return
 
     @hypothesis.settings(derandomize=True, max_examples=200, database=None)
     @hypothesis.given(strategies.binary(max_size=100))
-    def test_damaged_batch_is_an_error(self, noise: bytes) -> None:
+    def test_random_bytes_as_records_are_an_error(self, payload: bytes) -> None:
         try:
-            decode_records(noise)
+            decode_records(payload)
         except (msgspec.MsgspecError, KeyError):
             return
 
