--- a/pollenwalk/process/adoption.py
+++ b/pollenwalk/process/adoption.py
@@ -1,4 +1,8 @@
-"""Copies the programs of a sealed journal into this entry's own journal."""
+"""Adoption of the programs of an entry that is taken over.
+
+Its journal is sealed by `Takeover`; then its programs are copied into this
+entry's own journal.
+"""
 
 import msgspec
 from loguru import logger
@@ -21,7 +25,7 @@
 
 
 class Adoption:
-    """Takes over dead entries for one owner.
+    """Takes over dead entries for one owner: seals, then copies the programs.
 
     Attributes:
         adopted: incarnations whose programs are here.
@@ -74,9 +78,10 @@
             self.owner.adoptions_in_progress -= 1
 
     async def adopt(self, dead: str) -> None:
-        """Copy a sealed journal's programs here and recover their intents.
+        """Copy a sealed journal's programs here and start to resolve their intents.
 
-        Incarnations that the dead entry had adopted get this successor too.
+        The records of incarnations that the dead entry had adopted name this
+        successor too, unless they name one already.
         """
         sealed = await self.takeover.read_sealed(dead)
         table = replay(sealed)
@@ -141,7 +146,8 @@
     async def delete_segments(self, dead: str, content: JournalContent) -> None:
         """Delete a dead journal's segments except its seals.
 
-        The seals stay for ever, as they fence the old owner.
+        The seals stay for ever, as they fence the old owner. If the store does
+        not answer, the remaining segments stay too.
         """
         for number, segment in sorted(content.segments.items()):
             if segment.sealed_by:
--- a/pollenwalk/process/compaction.py
+++ b/pollenwalk/process/compaction.py
@@ -2,7 +2,7 @@
 
 Old programs are written again as snapshots, a few at a time, until no record
 in the oldest segments is needed any more; then those are deleted. So a
-takeover reads a bounded journal, however long its owner has been running.
+takeover has little to read, however long the owner has been running.
 """
 
 from loguru import logger
@@ -23,8 +23,8 @@
     """Rewrites old programs and deletes segments that are no longer needed.
 
     Attributes:
-        first_segments: for each program, a segment before which none of its
-            needed records lie.
+        first_segments: for each program, the first segment that may have
+            records needed to rebuild it.
         claims_segment: the same for the claims of idempotency keys.
         oldest_segment: the first segment that has not been deleted.
     """
@@ -44,7 +44,7 @@
         self.owner.tasks.spawn(self.run(), 'compaction')
 
     def track_first_segments(self, records: list[Record], segment: int) -> None:
-        """Note the first needed segment of programs that were created or rewritten.
+        """Set `first_segments` for programs that were created or rewritten.
 
         Args:
             records: records that were committed.
--- a/pollenwalk/process/directory.py
+++ b/pollenwalk/process/directory.py
@@ -1,8 +1,9 @@
 """The directory of all entries, read from their records in the store.
 
-A record is written only when an entry starts, stops or is taken over, so
-every entry can afford to watch all of them. Whether an entry is alive is known
-from heartbeats, not from its record.
+A record is written only when an entry starts and when another entry takes it
+over, as at a graceful stop. It is never renewed, so every entry can afford to
+watch all records. Whether an entry is alive is known from heartbeats, not from
+its record.
 """
 
 import hashlib
@@ -27,7 +28,8 @@
         address: `ip:port` where peers reach it.
         zone: its availability zone.
         region: its region.
-        started_ms: wall-clock time of its start.
+        started_ms: wall-clock time of its start, by which the entries are
+            found that may have been a key's registrar earlier.
         successor: the incarnation that took over its programs; empty if none.
     """
 
@@ -58,7 +60,7 @@
 
 
 def rendezvous(key: str, names: Iterable[str]) -> list[str]:
-    """Rank names for a key by rendezvous hashing, highest first.
+    """Rank names for a key by rendezvous hashing, highest hash first.
 
     Adding or removing a name leaves the order of the others unchanged.
 
@@ -133,6 +135,8 @@
     def live_entries(self, region: str = '') -> list[EntryRecord]:
         """Return the entries that have not been taken over.
 
+        Some may be dead, as their records don't show that.
+
         Args:
             region: return only entries of this region; empty for all.
         """
@@ -169,8 +173,8 @@
     def witness_candidates(self, incarnation: str, count: int) -> list[EntryRecord]:
         """Return the preferred witnesses of an entry, the best first.
 
-        Entries in other zones of the same region come first: they are near,
-        but don't fail with the entry's own zone.
+        Entries in other zones of the same region come first: their round trips
+        are short, but they don't fail with the entry's own zone.
 
         Args:
             incarnation: the entry whose batches they are to hold.
--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -80,7 +80,15 @@
 
 
 class Entry:
-    """An entry, which continues as a new incarnation after a takeover."""
+    """An entry; if another entry takes it over, it starts a new incarnation.
+
+    Attributes:
+        tasks: tasks that run until the entry is closed.
+        owner_tasks: tasks of the current incarnation, such as its calls and its
+            journal.
+        ready: whether the current incarnation is registered and may own programs.
+        stopping: whether the entry is shutting down.
+    """
 
     def __init__(
         self,
@@ -121,7 +129,11 @@
         self.start_incarnation()
 
     async def take_over(self, dead: str) -> bool:
-        """Take over a dead entry, and return whether its programs are here now."""
+        """Take over an entry that is dead or hands over its programs.
+
+        Returns:
+            Whether its programs are here now.
+        """
         return await self.entry_monitor.take_over(dead)
 
     @property
@@ -246,9 +258,9 @@
             await self.clock.sleep_ms(CHECK_INTERVAL_MS)
 
     def leave_to_successor(self) -> None:
-        """Refuse open calls after a takeover.
+        """Refuse open calls once a successor has sealed the journal.
 
-        Unless the entry is stopping, it restarts as a new incarnation.
+        Unless the entry is stopping, it then starts a new incarnation.
         """
         self.ready = False
         self.owner.refuse_open_calls()
@@ -289,7 +301,8 @@
     def reply_to_report(self, report: Report) -> None:
         """Send a sidecar the entries to report to and its configuration.
 
-        Each is sent only if it differs from what the report says.
+        The entries are sent only if their digest differs from the report's, the
+        configuration only if it is newer than the report's version.
         """
         entries = self.report_targets.entries_for(report, len(self.fleet.hosts))
         self.fleet.report_interval_ms = entries.interval_ms
@@ -361,7 +374,7 @@
         self.owner.stopping = True
 
     async def close(self) -> None:
-        """Cancel all tasks and close all connections at once."""
+        """Cancel all tasks and close all connections, without waiting for requests."""
         self.ready = False
         await self.owner_tasks.cancel()
         await self.tasks.cancel()
--- a/pollenwalk/process/entry_interface.py
+++ b/pollenwalk/process/entry_interface.py
@@ -37,8 +37,9 @@
     Attributes:
         settings: its address and its number of witnesses.
         incarnation: id of the current incarnation.
-        ready: whether it is registered and owns programs.
-        stopping: whether it is shutting down.
+        ready: whether the current incarnation is registered and may own
+            programs.
+        stopping: whether the entry is shutting down.
     """
 
     settings: MonitorSettings
@@ -62,4 +63,8 @@
         """Return this entry's record as it is written at registration."""
 
     async def take_over(self, dead: str) -> bool:
-        """Take over a dead entry, and return whether its programs are here now."""
+        """Take over an entry that is dead or hands over its programs.
+
+        Returns:
+            Whether its programs are here now.
+        """
--- a/pollenwalk/process/entry_monitor.py
+++ b/pollenwalk/process/entry_monitor.py
@@ -9,6 +9,7 @@
 from pollenwalk.process.liveness import CHECK_INTERVAL_MS
 from pollenwalk.process.segments import WitnessRef
 
+# After this time without a report a host is dropped from the fleet.
 FORGET_SILENT_MS = 60_000
 PROBE_ATTEMPTS = 2
 PROBE_TIMEOUT_MS = 1000
@@ -27,7 +28,12 @@
         self.taking_over: dict[str, None] = {}
 
     async def watch_entries(self) -> None:
-        """Send heartbeats and take over dead entries until cancelled."""
+        """Check all other entries and the hosts regularly until cancelled.
+
+        While this entry is ready, each check sends a heartbeat if one is due,
+        chooses the witnesses and probes silent entries, which may lead to
+        takeovers. It drops silent hosts in any case.
+        """
         while True:
             self.entry.liveness.reset_after_pause()
             if self.entry.ready:
@@ -67,7 +73,10 @@
         self.entry.journal.set_witnesses(usable if len(usable) == count else [])
 
     def start_probe(self, record: EntryRecord) -> None:
-        """Start to probe a silent entry, unless that is already under way."""
+        """Start to probe a silent entry, and to take it over if it is dead.
+
+        Does nothing if that is already under way or this entry is stopping.
+        """
         if record.incarnation in self.taking_over or self.entry.stopping:
             return
         self.taking_over[record.incarnation] = None
@@ -85,7 +94,10 @@
             self.taking_over.pop(record.incarnation, None)
 
     async def is_alive(self, record: EntryRecord) -> bool:
-        """Return whether this same incarnation answers at its address."""
+        """Return whether the record's incarnation answers at its address.
+
+        Other incarnations at this entry's own address are dead.
+        """
         if record.address == self.entry.settings.address:
             return False
         for _ in range(PROBE_ATTEMPTS):
@@ -111,11 +123,12 @@
             return ''
 
     async def take_over(self, dead: str) -> bool:
-        """Take over a dead entry.
+        """Take over an entry that is dead or hands over its programs.
 
         Returns:
             Whether its programs are here now; False also if the store did not
-            answer, in which case a later check tries again.
+            answer, in which case a later check tries again, or if this entry's
+            own journal has been sealed.
         """
         try:
             return await self.entry.adoption.take_over(dead)
--- a/pollenwalk/process/entry_service.py
+++ b/pollenwalk/process/entry_service.py
@@ -104,10 +104,14 @@
             raise OwnerUnreachable() from error
 
     def check_owned(self, program_id: str) -> None:
-        """Check that this entry owns a program.
+        """Check that this entry is the owner for a program id.
+
+        It need not have such a program, for example if that is yet to be
+        created.
 
         Raises:
-            OwnerUnreachable: it does not; whether a call ran is unknown here.
+            OwnerUnreachable: this entry is not the owner, so it can't tell
+                whether a call of the program ran.
         """
         if self.entry.routing.is_owned_here(program_id):
             return
@@ -116,7 +120,12 @@
             raise OwnerUnreachable()
 
     async def claim(self, message: ClaimKey) -> Claim:
-        """Claim an idempotency key for a program, or look up its program."""
+        """Claim an idempotency key for a program, or look up the key's program.
+
+        Raises:
+            Refusal: the claim can't be made durable now.
+            OwnerUnreachable: a successor has sealed this entry's journal.
+        """
         try:
             if message.program:
                 return Claim(await self.entry.routing.claim_here(message))
--- a/pollenwalk/process/journal.py
+++ b/pollenwalk/process/journal.py
@@ -41,8 +41,8 @@
     """Records that become durable together.
 
     Attributes:
-        number: its place in the journal, counted from 1.
-        body: the encoded records.
+        number: its place in the journal, counted from 1; 0 while it is open.
+        body: the encoded records; empty while it is open.
         opened_ms: when its first record was appended, on the process's clock.
         durable: done once the batch is durable; fails if it never will be.
     """
@@ -55,7 +55,7 @@
         self.durable: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def mark_durable(self) -> None:
-        """Mark the batch durable."""
+        """Complete the waits for the batch."""
         if not self.durable.done():
             self.durable.set_result(None)
 
@@ -63,6 +63,7 @@
         """Fail the batch: a successor has sealed the journal."""
         if not self.durable.done():
             self.durable.set_exception(Fenced('sealed by a successor'))
+            # Marks the error as retrieved, as perhaps nobody waits for the batch.
             self.durable.exception()
 
 
@@ -77,15 +78,23 @@
         last_stored_batch: number of the last batch in the store.
         pending: batches that the store has not confirmed.
         fenced: whether a successor has sealed this journal.
-        handing_over: whether the owner is about to ask for a takeover, so no
-            call should be dispatched.
+        handing_over: whether the owner is handing its programs over, so that
+            no call may be dispatched.
         confirmed_ms: when the newest durable batch was opened; no successor
             had sealed the journal before that.
         desired_witnesses: to be named by the next segment.
         effective_witnesses: named by the last segment in the store.
         proposed_witnesses: named by the segment that is being written.
         on_fenced: called once when the journal is found sealed.
-        peers: gives the peer at an address; None for no witnesses.
+        peers: returns the peer at an address; None for no witnesses.
+        open_records: records of the open batch.
+        open_batch: the batch to which records are appended; None if there is
+            none.
+        work_available: set when a segment may have to be written.
+        batch_available: set when there are batches to send to witnesses, or
+            the journal is fenced.
+        witness_links: the connections to the effective witnesses.
+        segments_written: how many segments have been stored, for the metrics.
     """
 
     def __init__(
--- a/pollenwalk/process/liveness.py
+++ b/pollenwalk/process/liveness.py
@@ -25,7 +25,8 @@
         sequence: number of the last heartbeat sent.
         last_sent_ms: when it was sent, on the process's clock.
         last_check_ms: when `reset_after_pause` was last called.
-        last_heard_ms: when each monitored entry was last known to be alive.
+        last_heard_ms: when each monitored entry was last known to be alive or,
+            before that, was first checked.
     """
 
     def __init__(self, directory: Directory, network: Network, clock: Clock) -> None:
--- a/pollenwalk/process/maintenance.py
+++ b/pollenwalk/process/maintenance.py
@@ -11,6 +11,7 @@
 from pollenwalk.version.resources import ProgramSpec
 
 RENEW_INTERVAL_MS = 5000
+# Timeout of a request to free memory, and the pause before it is repeated.
 RELEASE_TIMEOUT_MS = 2000
 RELEASE_ATTEMPTS = 5
 SWEEP_INTERVAL_MS = 2000
--- a/pollenwalk/process/owner_interface.py
+++ b/pollenwalk/process/owner_interface.py
@@ -19,7 +19,7 @@
     Attributes:
         context: services that all calls of the entry share.
         table: the durable state of the programs.
-        tasks: background tasks.
+        tasks: the incarnation's background tasks, those of calls included.
         live: state of the programs that is not durable, by program id.
     """
 
--- a/pollenwalk/process/program_creator.py
+++ b/pollenwalk/process/program_creator.py
@@ -34,7 +34,16 @@
 
 
 class ProgramCreator:
-    """Creates the programs of one owner and records which keys are in use."""
+    """Creates the programs of one owner and records which keys are in use.
+
+    Attributes:
+        pending: programs that are being created, by caller and key, or by
+            caller and id if the request has no key.
+        pending_claims: the commits of claims that are not yet durable, by
+            caller and key.
+        claimed_ms: when each claim became durable or, if that was not noted
+            here, was first seen by `drop_claims`.
+    """
 
     def __init__(self, owner: OwnerInterface) -> None:
         """Create programs for `owner`."""
@@ -48,8 +57,10 @@
         """Create a program, or return the one that has the request's key.
 
         Raises:
-            Refusal: the program is not declared, a limit or budget is
-                exceeded, or its record did not become durable in time.
+            Refusal: the entry accepts no new programs now, the program is not
+                declared, its key was used for another declaration, a limit or
+                budget is exceeded, an upstream is overloaded, or the record
+                did not become durable in time.
             Fenced: a successor has sealed the journal; retry there.
         """
         existing = self.find_existing(request)
@@ -92,7 +103,7 @@
         if program_id not in self.owner.table.programs:
             raise Refusal(
                 RefusalCode.BUDGET_EXHAUSTED,
-                'the parent has too few tokens to give',
+                'the parent has too few free tokens',
             )
         return self.owner.find(program_id).program
 
@@ -229,11 +240,11 @@
             )
 
     def check_load(self, request: BeginProgram) -> None:
-        """Refuse a new program while its model upstreams are overloaded.
+        """Check that all model upstreams have capacity for a program's priority.
 
         Raises:
-            Refusal: its retry delay is random, so that callers don't all retry
-                at once.
+            Refusal: one is overloaded. The retry delay is random, so that
+                callers don't all retry at once.
         """
         spec = self.context.config.program(request.declaration)
         level = self.context.config.priority_level(spec.priority)
@@ -259,11 +270,14 @@
         if limit > parent.program.budget.free:
             raise Refusal(
                 RefusalCode.BUDGET_EXHAUSTED,
-                f'the parent has {parent.program.budget.free} tokens to give',
+                f'the parent has only {parent.program.budget.free} free tokens',
             )
 
     def drop_claims(self) -> None:
-        """Remove key claims that are older than `CLAIM_RETENTION_MS`."""
+        """Remove key claims that are older than `CLAIM_RETENTION_MS`.
+
+        The age of an adopted claim counts from its first check here.
+        """
         now_ms = self.context.clock.now_ms()
         for identity in list(self.owner.table.claims):
             claimed_ms = self.claimed_ms.setdefault(identity, now_ms)
--- a/pollenwalk/process/program_owner.py
+++ b/pollenwalk/process/program_owner.py
@@ -28,14 +28,17 @@
 from pollenwalk.request.entry_context import EntryContext
 from pollenwalk.request.execution import Execution, with_unknown_outcome
 
+# How long `end` waits until its records are durable.
 END_COMMIT_TIMEOUT_MS = 2000
 RENEW_MS = 5000
 RELEASE_TIMEOUT_MS = 2000
 RELEASE_ATTEMPTS = 5
+# Longest wait for a call to end before the open calls are checked again.
 STOP_POLL_MS = 2000
 RETAIN_MS = 600_000
 RECOVERY_MS = 30_000
 RETRY_AFTER_MS = 1000
+# How long a refused call waits for the proof that this entry is still the owner.
 CONFIRM_TIMEOUT_MS = 1000
 # Refusals that concern the request alone, so they hold whoever owns the program.
 REQUEST_ERROR_CODES = frozenset(
@@ -54,10 +57,14 @@
     Attributes:
         context: services that all calls share.
         table: the durable state of the programs.
-        tasks: background tasks.
+        tasks: the incarnation's background tasks, those of calls included.
         live: state of the programs that is not durable, by program id.
         stopping: whether new programs and calls are refused.
-        adoptions_in_progress: how many takeovers are copying programs here.
+        adoptions_in_progress: how many adoptions of other entries' programs are
+            under way; no compaction starts meanwhile.
+        program_creator: creates programs and records key claims.
+        recovery: resolves the intents of adopted programs.
+        maintenance: renews leases, ends idle programs and drops old ones.
     """
 
     def __init__(
@@ -249,7 +256,7 @@
             check_chat(request.argument)
 
     def check_loops(self, live: LiveProgram, call: LiveCall) -> None:
-        """Refuse a call beyond `max_calls` or repeated `loop_limit` times."""
+        """Refuse a call beyond `max_calls`, or equal to the last `loop_limit` calls."""
         spec = self.context.config.program(live.program.declaration)
         if call.request.sequence > spec.max_calls:
             raise Refusal(
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -22,7 +22,7 @@
 
 
 class Recovery:
-    """Resolves the intents of adopted programs: whether each call ran, and how."""
+    """Resolves the intents of adopted programs: whether and how each call ended."""
 
     def __init__(self, owner: OwnerInterface) -> None:
         """Recover programs of `owner`."""
@@ -32,8 +32,8 @@
     def recover(self, programs: Iterable[Program]) -> None:
         """Start to resolve the intents of adopted programs.
 
-        Programs that have ended release their engine memory again, as the
-        dead owner may not have done so.
+        For programs that have ended, the sidecars are asked again to free
+        engine memory, as the dead owner may not have done so.
         """
         for program in programs:
             live = self.owner.find(program.id)
@@ -59,8 +59,9 @@
     ) -> None:
         """Ask the sidecar that an intent names how the call ended.
 
-        The dispatch is never repeated, as the call may have run. Its outcome
-        is unknown if the sidecar can't tell within `RECOVERY_TIMEOUT_MS`.
+        The call may have run, so it is not dispatched again unless the sidecar
+        proves that it did not run. Its outcome is unknown if the sidecar can't
+        tell within `RECOVERY_TIMEOUT_MS`.
         """
         resolver = Resolver(
             self.context.peers(intent.address),
@@ -103,7 +104,7 @@
         call.fail(
             Refusal(
                 RefusalCode.CANCELLED,
-                'its entry died before it dispatched the call',
+                'the program was taken over before the call ran',
                 retry_after_ms=0,
             ),
         )
--- a/pollenwalk/process/report_targets.py
+++ b/pollenwalk/process/report_targets.py
@@ -80,8 +80,9 @@
 def report_interval_ms(hosts: int) -> int:
     """Return the time in ms between a sidecar's reports.
 
-    It limits an entry's load to `REPORTS_PER_SECOND`, up to
-    `MAX_INTERVAL_MS`.
+    It grows with the number of sidecars, so that an entry receives about
+    `REPORTS_PER_SECOND` at most until `MAX_INTERVAL_MS` is reached. It is a
+    multiple of `INTERVAL_STEP_MS`.
 
     Args:
         hosts: how many sidecars report to the entry.
--- a/pollenwalk/process/segments.py
+++ b/pollenwalk/process/segments.py
@@ -1,6 +1,8 @@
 """The segments of a journal, which are objects in the store.
 
-The last segment of a journal whose owner has been fenced is a seal.
+When a journal is taken over, its successor adds a seal as the last segment. A
+second successor adds another if the first one dies before it has adopted the
+programs.
 """
 
 from typing import NamedTuple
@@ -29,9 +31,11 @@
     Attributes:
         nonce: lets the writer recognise its segment when the store's answer
             to the write was lost.
-        first: number of the first batch.
+        first: number of the first batch; in a segment without batches, number
+            of the next batch.
         batches: encoded records of each batch.
-        witnesses: the witnesses of the batches after this segment.
+        witnesses: the witnesses that must all acknowledge a batch after this
+            segment to make it durable before the store has it.
         sealed_by: the successor's incarnation; empty in ordinary segments.
     """
 
@@ -43,7 +47,7 @@
 
     @property
     def last(self) -> int:
-        """Return the number of the last batch in the journal after this segment."""
+        """Return the number of the last batch up to the end of this segment."""
         return self.first + len(self.batches) - 1
 
 
--- a/pollenwalk/process/takeover.py
+++ b/pollenwalk/process/takeover.py
@@ -2,7 +2,8 @@
 
 The successor seals the dead owner's journal in the store, then at one witness,
 and only then reads what was acknowledged. If several entries try, the one
-whose seal was written first gets the programs.
+whose seal was written first gets the programs, unless its own journal is
+sealed before it has adopted them.
 """
 
 import random
@@ -91,7 +92,7 @@
                 return self.successor
 
     async def seal(self, dead: str, content: JournalContent) -> bool:
-        """Add a seal to a journal, which may have that of a dead successor.
+        """Add a seal to a journal, which may end with the seal of a dead successor.
 
         Returns:
             Whether this successor's seal is written; False if another entry
@@ -112,7 +113,7 @@
         return created
 
     async def is_orphaned_seal(self, dead: str, owner_id: str) -> bool:
-        """Return whether the owner of a seal can no longer adopt the programs.
+        """Return whether the writer of a seal can no longer adopt the programs.
 
         It can't once its own journal is sealed without the adoption in it. An
         adoption may also be missing there because compaction deleted it, but
@@ -179,7 +180,7 @@
 def replay(sealed: SealedJournal) -> ProgramTable:
     """Rebuild the programs of a sealed journal.
 
-    Programs that its owner was adopting from a third journal are included
+    Programs that its owner was adopting from another journal are included
     only if that adoption was completed.
     """
     table = ProgramTable()
@@ -198,7 +199,7 @@
 
 
 def account_for_losses(program: Program, tail_lost: bool) -> None:
-    """Count a program's reservation as spent, and mark it if records are lost.
+    """Count a reservation as spent; mark a program uncertain if records are lost.
 
     The dead owner may have spent what was reserved without recording it.
     """
--- a/pollenwalk/process/witness.py
+++ b/pollenwalk/process/witness.py
@@ -50,12 +50,13 @@
         """Add batches, skipping those already held.
 
         Raises:
-            Refusal: batches are missing before the first one.
+            Refusal: batches between the held and the sent ones are missing.
         """
         already_held = self.next_number - message.first
         if already_held < 0:
             raise Refusal(
-                RefusalCode.STALE_SESSION, 'batches before the first one are missing'
+                RefusalCode.STALE_SESSION,
+                'batches between the held and the sent ones are missing',
             )
         self.batches.extend(message.batches[already_held:])
 
@@ -81,7 +82,7 @@
         return Done()
 
     def seal(self, message: WitnessSeal) -> WitnessBatches:
-        """Accept no more batches from an owner and return those not stored."""
+        """Accept no more batches of an owner; return those that the store lacks."""
         held = self.held.setdefault(message.incarnation, HeldBatches())
         held.sealed = True
         held.drop_stored(message.base)
@@ -126,6 +127,7 @@
         return True
 
 
+# Returns the peer at an address.
 PeerSource = Callable[[str], Peer]
 
 
@@ -137,8 +139,8 @@
     """Seal an owner's batches at one witness.
 
     Returns:
-        The batches that it held, or None if it can't be reached or has
-        restarted.
+        The batches that it held, or None if it can't be reached, has restarted
+        or refuses.
     """
     try:
         connection = await peer.connected()
--- a/pollenwalk/process/write_limiter.py
+++ b/pollenwalk/process/write_limiter.py
@@ -22,8 +22,9 @@
 
     Attributes:
         writes_per_second: budget of all entries together.
-        count_entries: returns the number of live entries.
-        share: fraction of this entry's equal share that it uses, up to 1.
+        count_entries: returns among how many entries the budget is divided.
+        share: factor of the entry's equal part of the budget that it may use
+            now, from `MIN_SHARE` to 1.
         permits: how many writes may be made without waiting.
         refilled_ms: when permits were last added, on the process's clock.
     """
