--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -51,7 +51,7 @@
 from pollenwalk.version.resources import Kind, ResourceId
 
 ID_BITS = 48
-HANDOVER_DEADLINE_MS = 10_000
+HANDOVER_TIMEOUT_MS = 10_000
 HANDOVER_GRACE_MS = 150
 POLL_MS = 20
 DRAIN_TIMEOUT_MS = 120_000
@@ -172,7 +172,7 @@
             lambda: len(self.directory.live_entries()),
         )
         self.journal.peers = self.peers.at
-        self.journal.on_fenced = self.leave_to_successor
+        self.journal.on_fenced = self.handle_fenced
         table = ProgramTable()
         recorder = Recorder(self.journal, table, self.clock, self.owner_tasks)
         context = EntryContext(
@@ -257,7 +257,7 @@
         except StoreUnavailable:
             await self.clock.sleep_ms(CHECK_INTERVAL_MS)
 
-    def leave_to_successor(self) -> None:
+    def handle_fenced(self) -> None:
         """Refuse open calls once a successor has sealed the journal.
 
         Unless the entry is stopping, it then starts a new incarnation.
@@ -351,7 +351,7 @@
     async def hand_over(self) -> None:
         """Ask another entry to take over the programs, running calls included.
 
-        If none does within `HANDOVER_DEADLINE_MS`, or there is none, this
+        If none does within `HANDOVER_TIMEOUT_MS`, or there is none, this
         entry keeps its programs and refuses new calls.
         """
         if not self.ready or self.journal.fenced:
@@ -361,7 +361,7 @@
             # successor starts.
             self.journal.handing_over = True
             await self.clock.sleep_ms(HANDOVER_GRACE_MS)
-        until_ms = self.clock.now_ms() + HANDOVER_DEADLINE_MS
+        until_ms = self.clock.now_ms() + HANDOVER_TIMEOUT_MS
         while self.clock.now_ms() < until_ms:
             others = self.directory.observers(self.incarnation, OBSERVERS)
             if not others:
--- a/pollenwalk/process/entry_monitor.py
+++ b/pollenwalk/process/entry_monitor.py
@@ -10,7 +10,7 @@
 from pollenwalk.process.segments import WitnessRef
 
 # After this time without a report a host is dropped from the fleet.
-FORGET_SILENT_MS = 60_000
+SILENT_HOST_TIMEOUT_MS = 60_000
 PROBE_ATTEMPTS = 2
 PROBE_TIMEOUT_MS = 1000
 
@@ -43,7 +43,7 @@
                     self.start_probe(record)
                 for record in self.predecessors():
                     self.start_probe(record)
-            self.entry.fleet.drop_silent(FORGET_SILENT_MS)
+            self.entry.fleet.drop_silent(SILENT_HOST_TIMEOUT_MS)
             await self.entry.clock.sleep_ms(CHECK_INTERVAL_MS)
 
     def predecessors(self) -> list[EntryRecord]:
--- a/pollenwalk/process/entry_service.py
+++ b/pollenwalk/process/entry_service.py
@@ -31,7 +31,7 @@
 from pollenwalk.process.entry_interface import EntryInterface
 from pollenwalk.process.program_ids import owner_of
 
-HANDOVER_TIMEOUT_MS = 8000
+HANDOVER_REQUEST_TIMEOUT_MS = 8000
 
 
 class EntryService:
@@ -157,7 +157,7 @@
         try:
             await self.entry.peers.at(successor.address).ask(
                 message,
-                HANDOVER_TIMEOUT_MS,
+                HANDOVER_REQUEST_TIMEOUT_MS,
             )
         except (ConnectionLost, Refusal):
             return False
--- a/pollenwalk/process/journal.py
+++ b/pollenwalk/process/journal.py
@@ -233,7 +233,7 @@
         key = segment_key(self.incarnation, self.next_segment)
         body = encode_segment(segment)
         if await self.create_segment(key, body):
-            self.segment_written(batches)
+            self.handle_segment_stored(batches)
         else:
             self.fence()
 
@@ -268,7 +268,7 @@
         else:
             self.write_limiter.record_answer(took_ms)
 
-    def segment_written(self, batches: list[Batch]) -> None:
+    def handle_segment_stored(self, batches: list[Batch]) -> None:
         """Update the state after a segment has been stored."""
         self.next_segment += 1
         self.segments_written += 1
--- a/pollenwalk/process/liveness.py
+++ b/pollenwalk/process/liveness.py
@@ -13,7 +13,7 @@
 HEARTBEAT_INTERVAL_MS = 1000
 SILENCE_TIMEOUT_MS = 3000
 RANK_DELAY_MS = 1500
-OTHER_REGION_TIMEOUT_MS = 60_000
+OTHER_REGION_SILENCE_TIMEOUT_MS = 60_000
 MAX_CHECK_GAP_MS = 1500
 OBSERVERS = 3
 
@@ -92,7 +92,7 @@
         timeout_ms = (
             SILENCE_TIMEOUT_MS
             if record.region == own_record.region
-            else OTHER_REGION_TIMEOUT_MS
+            else OTHER_REGION_SILENCE_TIMEOUT_MS
         )
         rank = observers.index(own_record.incarnation)
         return silent_ms > timeout_ms + rank * RANK_DELAY_MS
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -125,9 +125,11 @@
         if refusal is not None and refusal.outcome == Outcome.NOT_RUN:
             await self.record_withdrawn(live, call, intent)
             return
-        entries = []
+        history_items = []
         if answer is not None:
-            entries = service_history_items(intent.operation, intent.argument, answer)
+            history_items = service_history_items(
+                intent.operation, intent.argument, answer
+            )
         record = Finished(
             intent.program,
             intent.key,
@@ -137,7 +139,7 @@
             intent.operation,
             answer,
             RefusalBody.from_refusal(refusal) if refusal else None,
-            entries,
+            history_items,
             0,
             live.program.budget.reserved,
             '',
--- a/pollenwalk/process/segments.py
+++ b/pollenwalk/process/segments.py
@@ -74,12 +74,14 @@
     @property
     def last_batch(self) -> int:
         """Return the number of the last batch in the store; 0 if there is none."""
-        return max((part.last for part in self.segments.values()), default=0)
+        return max((segment.last for segment in self.segments.values()), default=0)
 
     @property
     def witnesses(self) -> list[WitnessRef]:
         """Return the witnesses that the last segment before the seals names."""
-        ordinary = [part for part in self.segments.values() if not part.sealed_by]
+        ordinary = [
+            segment for segment in self.segments.values() if not segment.sealed_by
+        ]
         return ordinary[-1].witnesses if ordinary else []
 
     def records(self) -> list[Record]:
