--- a/pollenwalk/process/host_table.py
+++ b/pollenwalk/process/host_table.py
@@ -135,7 +135,7 @@
         A host that has started again loses its former state.
         """
         state = self.states.get(registration.id)
-        if state is None or state.registration.born_ms != registration.born_ms:
+        if state is None or state.registration.started_ms != registration.started_ms:
             state = HostState(registration)
             self.states[registration.id] = state
         state.registration = registration
--- a/pollenwalk/process/keeper_links.py
+++ b/pollenwalk/process/keeper_links.py
@@ -88,7 +88,7 @@
         link = self.by_name.get(member.name)
         if link is None or link.member.address != member.address:
             peer = Peer(member.address, self.network, self.clock, self.tasks)
-            peer.drops_when_silent = True
+            peer.close_on_timeout = True
             link = KeeperLink(member, peer, self.distance(member.zone))
             self.by_name[member.name] = link
         link.member = member
@@ -135,7 +135,7 @@
         if link.lost_since_ms is not None:
             raise ConnectionLost(f'{link.member.name} is lost')
         try:
-            return await link.peer.ask(message, ASK_TIMEOUT_MS)
+            return await link.peer.request(message, ASK_TIMEOUT_MS)
         except ConnectionLost as error:
             self.mark_lost(link, error)
             raise
@@ -157,7 +157,7 @@
         """Probe a lost keeper until it answers or its link is replaced."""
         while self.by_name.get(link.member.name) is link:
             try:
-                await link.peer.ask(Settlements([]), ASK_TIMEOUT_MS)
+                await link.peer.request(Settlements([]), ASK_TIMEOUT_MS)
             except PollenwalkError:
                 # The loss has been logged by `mark_lost`.
                 await self.clock.sleep_ms(PROBE_INTERVAL_MS)
--- a/pollenwalk/process/witness.py
+++ b/pollenwalk/process/witness.py
@@ -8,12 +8,7 @@
 from collections.abc import Callable
 
 from pollenwalk.connection.peer import Peer
-from pollenwalk.connection.wire import (
-    Done,
-    WitnessAppend,
-    WitnessBatches,
-    WitnessSeal,
-)
+from pollenwalk.connection.wire import Done, WitnessAppend, WitnessBatches, WitnessSeal
 from pollenwalk.errors import ConnectionLost, Refusal, RefusalCode
 from pollenwalk.process.segments import WitnessRef
 
@@ -113,11 +108,11 @@
             has not failed, they may be sent again.
         """
         try:
-            connection = await self.peer.connected()
+            connection = await self.peer.ensure_connected()
             if connection.boot_id != self.ref.incarnation:
                 self.failed = True
                 return False
-            await self.peer.ask(message, WITNESS_TIMEOUT_MS)
+            await self.peer.request(message, WITNESS_TIMEOUT_MS)
         except Refusal:
             self.failed = True
             return False
@@ -143,9 +138,9 @@
         or refuses.
     """
     try:
-        connection = await peer.connected()
+        connection = await peer.ensure_connected()
         if connection.boot_id != ref.incarnation:
             return None
-        return await peer.ask(message, WITNESS_TIMEOUT_MS)
+        return await peer.request(message, WITNESS_TIMEOUT_MS)
     except (ConnectionLost, Refusal):
         return None
--- a/pollenwalk/request/call.py
+++ b/pollenwalk/request/call.py
@@ -61,7 +61,7 @@
         """Start the call; its deadline counts from now."""
         self.request = request
         self.digest = request_digest(request)
-        self.deadline_ms = clock.now_ms() + request.deadline_in_ms
+        self.deadline_ms = clock.now_ms() + request.time_left_ms
         self.clock = clock
         self.stream = TokenStream()
         self.attempts = 0
--- a/pollenwalk/request/call_sender.py
+++ b/pollenwalk/request/call_sender.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from pollenwalk.connection.link_pool import LinkPool
+from pollenwalk.connection.connection_pool import ConnectionPool
 from pollenwalk.errors import BrokenAnswer, NotSent, Outcome, Refusal, RefusalCode
 from pollenwalk.platform.headers import added_headers, resume_header
 from pollenwalk.policy.host_choice import CallCost
@@ -45,7 +45,7 @@
     """
 
     clock: Clock
-    pool: LinkPool
+    pool: ConnectionPool
     call_placer: CallPlacer
     metrics: GatewayMetrics
     rng: random.Random
@@ -198,7 +198,7 @@
         self.found_no_free_slot = state.load(self.sent_ms) >= state.registration.slots
         state.in_flight += 1
         try:
-            link = await self.context.pool.take(state.registration)
+            link = await self.context.pool.acquire(state.registration)
         except BaseException:
             state.in_flight -= 1
             raise
@@ -228,7 +228,7 @@
             self.body,
         )
         self.runs += 1
-        head = await exchange.link.head(self.call.id)
+        head = await exchange.link.read_head(self.call.id)
         exchange.head = head
         if head.load is not None:
             state.record_load(head.load, self.context.clock.now_ms())
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -166,7 +166,7 @@
         while True:
             host = await self.attempts.choose_host()
             try:
-                return host, await self.context.peers(host.address).connected()
+                return host, await self.context.peers(host.address).ensure_connected()
             except ConnectionLost:
                 await self.attempts.handle_lost_host(host)
 
--- a/pollenwalk/request/routing.py
+++ b/pollenwalk/request/routing.py
@@ -180,7 +180,7 @@
         registrar = self.rank_registrars(message)[0]
         if registrar.incarnation == self.incarnation:
             return await self.claim_here(message)
-        claim = await self.peers(registrar.address).ask(
+        claim = await self.peers(registrar.address).request(
             message,
             FORWARD_TIMEOUT_MS,
         )
@@ -232,7 +232,7 @@
         ]
         for record in older_registrars[:MAX_OLDER_REGISTRARS]:
             try:
-                claim = await self.peers(record.address).ask(
+                claim = await self.peers(record.address).request(
                     lookup,
                     CLAIM_TIMEOUT_MS,
                 )
@@ -250,7 +250,7 @@
         Yields:
             The tokens as they arrive, and the answer last.
         """
-        deadline_ms = self.clock.now_ms() + request.deadline_in_ms
+        deadline_ms = self.clock.now_ms() + request.time_left_ms
         give_up_at_ms = min(deadline_ms, self.clock.now_ms() + OWNER_WAIT_MS)
         self.open_requests += 1
         try:
@@ -274,7 +274,7 @@
         """
         while True:
             remaining_ms = deadline_ms - self.clock.now_ms()
-            request = request._replace(deadline_in_ms=remaining_ms)
+            request = request._replace(time_left_ms=remaining_ms)
             try:
                 async for item in self.call_once(request):
                     yield item
@@ -333,7 +333,7 @@
         owner_record = await self.find_owner(program_id)
         if owner_record.incarnation != self.incarnation:
             self.forwarded += 1
-            return await self.peers(owner_record.address).ask(
+            return await self.peers(owner_record.address).request(
                 message, FORWARD_TIMEOUT_MS
             )
         if isinstance(message, BeginProgram):
