--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -51,7 +51,9 @@
 from pollenwalk.version.resources import Kind, ResourceId
 
 ID_BITS = 48
+# How long other entries are asked to take over before the entry keeps its programs.
 HANDOVER_TIMEOUT_MS = 10_000
+# Time for dispatched calls to reach their sidecars.
 HANDOVER_GRACE_MS = 150
 POLL_MS = 20
 DRAIN_TIMEOUT_MS = 120_000
--- a/pollenwalk/process/entry_service.py
+++ b/pollenwalk/process/entry_service.py
@@ -31,6 +31,7 @@
 from pollenwalk.process.entry_interface import EntryInterface
 from pollenwalk.process.program_ids import owner_of
 
+# Timeout of one handover request; the answer comes after the whole takeover.
 HANDOVER_REQUEST_TIMEOUT_MS = 8000
 
 
--- a/pollenwalk/process/journal.py
+++ b/pollenwalk/process/journal.py
@@ -162,8 +162,10 @@
     def recently_confirmed(self) -> bool:
         """Return whether the last proof is so recent that a takeover is unlikely.
 
-        This relies on the clock, so safety must not depend on it. It only
-        makes it rare that a fenced owner runs an idempotent call again.
+        `RECENT_CONFIRMATION_MS` is shorter than the silence after which an
+        entry is taken over. This relies on the clock, so safety must not depend
+        on it. It only makes it rare that a fenced owner runs an idempotent call
+        again.
         """
         return self.clock.now_ms() - self.confirmed_ms < RECENT_CONFIRMATION_MS
 
--- a/pollenwalk/process/report_targets.py
+++ b/pollenwalk/process/report_targets.py
@@ -40,7 +40,7 @@
 
         Args:
             report: the sidecar's last report.
-            hosts: how many sidecars report to this entry.
+            hosts: how many hosts, and so sidecars, report to this entry.
 
         Returns:
             The message for the sidecar, which has it already if its report
@@ -80,12 +80,12 @@
 def report_interval_ms(hosts: int) -> int:
     """Return the time in ms between a sidecar's reports.
 
-    It grows with the number of sidecars, so that an entry receives about
+    It grows with the number of hosts, so that an entry receives about
     `REPORTS_PER_SECOND` at most until `MAX_INTERVAL_MS` is reached. It is a
     multiple of `INTERVAL_STEP_MS`.
 
     Args:
-        hosts: how many sidecars report to the entry.
+        hosts: how many hosts, and so sidecars, report to the entry.
     """
     required_ms = hosts * INTERVAL_STEP_MS // REPORTS_PER_SECOND
     steps = -(-required_ms // INTERVAL_STEP_MS)
