--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -53,7 +53,7 @@
 ID_BITS = 48
 # How long other entries are asked to take over before the entry keeps its programs.
 HANDOVER_TIMEOUT_MS = 10_000
-# Time for dispatched calls to reach their sidecars.
+# Time for calls that have been given a host to reach its sidecar.
 HANDOVER_GRACE_MS = 150
 POLL_MS = 20
 DRAIN_TIMEOUT_MS = 120_000
@@ -359,8 +359,8 @@
         if not self.ready or self.journal.fenced:
             return
         if self.directory.observers(self.incarnation, 1):
-            # Calls already dispatched should reach their sidecars before the
-            # successor starts.
+            # Calls that have been given a host should reach its sidecar before
+            # the successor starts.
             self.journal.handing_over = True
             await self.clock.sleep_ms(HANDOVER_GRACE_MS)
         until_ms = self.clock.now_ms() + HANDOVER_TIMEOUT_MS
--- a/pollenwalk/process/entry_interface.py
+++ b/pollenwalk/process/entry_interface.py
@@ -34,6 +34,9 @@
 class EntryInterface(Protocol):
     """What the entry's service and its monitoring of other entries need of it.
 
+    The attributes that are not described are the entry's components, each
+    described by its class.
+
     Attributes:
         settings: its address and its number of witnesses.
         incarnation: id of the current incarnation.
--- a/pollenwalk/process/journal.py
+++ b/pollenwalk/process/journal.py
@@ -79,7 +79,7 @@
         pending: batches that the store has not confirmed.
         fenced: whether a successor has sealed this journal.
         handing_over: whether the owner is handing its programs over, so that
-            no call may be dispatched.
+            no more calls are given a host.
         confirmed_ms: when the newest durable batch was opened; no successor
             had sealed the journal before that.
         desired_witnesses: to be named by the next segment.
