--- a/pollenwalk/process/call_executor.py
+++ b/pollenwalk/process/call_executor.py
@@ -24,7 +24,7 @@
 from pollenwalk.process.traces import Tracer
 from pollenwalk.version.resources import UpstreamSpec
 
-RESUME_ATTEMPTS = 3
+STREAM_ATTEMPTS = 3
 RESUME_DELAY_MS = 100
 
 
@@ -154,7 +154,7 @@
         """Stream the engine's answer, resuming the stream if it is interrupted.
 
         Raises:
-            Refusal: the engine refused, or all RESUME_ATTEMPTS streams were
+            Refusal: the engine refused, or all STREAM_ATTEMPTS streams were
                 interrupted.
         """
         prompt = [
@@ -169,7 +169,7 @@
             call.message.priority,
         )
         source = self.upstream.chat(request)
-        for _ in range(RESUME_ATTEMPTS):
+        for _ in range(STREAM_ATTEMPTS):
             try:
                 answer = await self.forward_stream(source, call)
             except ConnectionLost as error:
--- a/pollenwalk/process/memory_leases.py
+++ b/pollenwalk/process/memory_leases.py
@@ -12,7 +12,7 @@
 from pollenwalk.process.clock import Clock
 
 LEASE_MS = 20_000
-CHECK_INTERVAL_MS = 2_000
+RECLAIM_INTERVAL_MS = 2_000
 
 
 class MemoryLeases:
@@ -71,7 +71,7 @@
                 await self.reclaim_expired()
             except (ConnectionLost, Refusal) as error:
                 logger.warning('memory_reclaim_failed', reason=error.message)
-            await self.clock.sleep_ms(CHECK_INTERVAL_MS)
+            await self.clock.sleep_ms(RECLAIM_INTERVAL_MS)
 
     async def reclaim_expired(self) -> None:
         """Free the memory of programs that the engine holds beyond their lease.
@@ -84,7 +84,7 @@
         """
         now_ms = self.clock.now_ms()
         for program in sorted(await self.engine.list_cache()):
-            lease_ms = self.expires_ms.setdefault(program, now_ms + LEASE_MS)
-            if lease_ms <= now_ms and program not in self.running_calls:
+            expiry_ms = self.expires_ms.setdefault(program, now_ms + LEASE_MS)
+            if expiry_ms <= now_ms and program not in self.running_calls:
                 logger.info('memory_returned', program=program)
                 await self.release(program)
--- a/pollenwalk/process/settings.py
+++ b/pollenwalk/process/settings.py
@@ -24,8 +24,8 @@
     read_text,
 )
 
-DEFAULTS = 'default.ini'
-REGIONS = 'regions'
+DEFAULTS_FILE = 'default.ini'
+REGIONS_SECTION = 'regions'
 SCHEMAS: dict[str, dict[str, Field]] = {
     'process': {
         'log_level': choice_field('DEBUG', 'INFO', 'WARNING', 'ERROR'),
@@ -150,11 +150,11 @@
         InvalidFile: the text has errors; lists all of them.
     """
     file_sections = parse_ini(text, source)
-    defaults = parse_ini(default_text(), DEFAULTS)
+    defaults = parse_ini(default_text(), DEFAULTS_FILE)
     problems = [
         Problem(source, section, '', f'unknown section; allowed: {known_sections()}')
         for section in file_sections
-        if section not in SCHEMAS and section != REGIONS
+        if section not in SCHEMAS and section != REGIONS_SECTION
     ]
     sections: dict[str, dict[str, Any]] = {}
     for name in SCHEMAS:
@@ -162,7 +162,7 @@
         errors, fields = parse_section(name, keys, source, name in ROLES[role])
         problems.extend(errors)
         sections[name] = fields
-    regions, errors = parse_regions(file_sections.get(REGIONS, {}), source)
+    regions, errors = parse_regions(file_sections.get(REGIONS_SECTION, {}), source)
     problems.extend(errors)
     if not problems:
         problems.extend(check_zone(sections, regions, source, role))
@@ -189,12 +189,12 @@
 def default_text() -> str:
     """Return the text of the default settings, with its comments."""
     package = resources.files('pollenwalk')
-    return package.joinpath(DEFAULTS).read_text(encoding='utf-8')
+    return package.joinpath(DEFAULTS_FILE).read_text(encoding='utf-8')
 
 
 def known_sections() -> str:
     """Return the names of all sections, separated by commas."""
-    return ', '.join([*SCHEMAS, REGIONS])
+    return ', '.join([*SCHEMAS, REGIONS_SECTION])
 
 
 def parse_section(
@@ -243,7 +243,7 @@
             regions[zone] = NAME.parse(region)
         except ValueError:
             text = f'{region!r} is not {NAME.allowed}'
-            problems.append(Problem(source, REGIONS, zone, text))
+            problems.append(Problem(source, REGIONS_SECTION, zone, text))
     return regions, problems
 
 
@@ -262,5 +262,5 @@
     if zone is None or zone in regions:
         return []
     known = ', '.join(regions) or 'none'
-    text = f'{zone!r} has no region; zones in [{REGIONS}]: {known}'
+    text = f'{zone!r} has no region; zones in [{REGIONS_SECTION}]: {known}'
     return [Problem(source, role, 'zone', text)]
--- a/pollenwalk/process/sidecar.py
+++ b/pollenwalk/process/sidecar.py
@@ -26,7 +26,7 @@
 from pollenwalk.version.resources import Kind
 
 INITIAL_REPORT_INTERVAL_MS = 1000
-SEED_REPORT_EVERY = 10
+REPORTS_PER_SEED_REPORT = 10
 SWEEP_INTERVAL_MS = 1000
 ORPHAN_TIMEOUT_MS = 10_000
 STOP_TIMEOUT_MS = 60_000
@@ -195,10 +195,10 @@
     def report_addresses(self) -> list[str]:
         """Return the addresses of the entries that get the current report.
 
-        Every SEED_REPORT_EVERY-th report also goes to the entries from the
+        Every REPORTS_PER_SEED_REPORT-th report also goes to the entries from the
         settings, because all entries learned since then may have been replaced.
         """
-        if self.report_number % SEED_REPORT_EVERY:
+        if self.report_number % REPORTS_PER_SEED_REPORT:
             return self.entries
         return list(dict.fromkeys([*self.entries, *self.settings.entries]))
 
--- a/pollenwalk/process/sidecar_calls.py
+++ b/pollenwalk/process/sidecar_calls.py
@@ -8,7 +8,7 @@
 from pollenwalk.process.clock import Clock
 from pollenwalk.request.stream import TokenStream
 
-FINISHED_RETENTION_MS = 600_000
+ENDED_RETENTION_MS = 600_000
 SEALED_EPOCH = float('inf')
 
 
@@ -135,8 +135,8 @@
         return call
 
     def drop_expired(self) -> None:
-        """Drop calls that ended over FINISHED_RETENTION_MS ago and are not settled."""
-        limit_ms = self.clock.now_ms() - FINISHED_RETENTION_MS
+        """Drop calls that ended over ENDED_RETENTION_MS ago and are not settled."""
+        limit_ms = self.clock.now_ms() - ENDED_RETENTION_MS
         self.by_id = {
             call_id: call
             for call_id, call in self.by_id.items()
