--- a/pollenwalk/process/memory_leases.py
+++ b/pollenwalk/process/memory_leases.py
@@ -1,8 +1,9 @@
 """Leases on engine memory, so that ended programs do not occupy it.
 
-Owners renew the leases of their programs in batches. A program that the engine
-holds memory for without a lease (the sidecar restarted, or a message was lost)
-gets one lease; if it is not renewed, the memory is freed when it expires.
+Engine memory is what an engine has cached of a program's prompts. Owners renew
+the leases of their programs in batches. A program that the engine holds memory
+for without a lease (the sidecar restarted, or a message was lost) gets one
+lease; if it is not renewed, the memory is freed when it expires.
 """
 
 from loguru import logger
@@ -12,7 +13,7 @@
 from pollenwalk.process.clock import Clock
 
 LEASE_MS = 20_000
-CHECK_INTERVAL_MS = 2_000
+RECLAIM_INTERVAL_MS = 2_000
 
 
 class MemoryLeases:
@@ -40,7 +41,10 @@
         self.expires_ms[program] = self.clock.now_ms()
 
     def begin_call(self, program: str) -> None:
-        """Count a running call, which protects its program's memory."""
+        """Count a running call and renew its program's lease.
+
+        The program's memory is not freed while a call of it runs.
+        """
         self.running_calls[program] = self.running_calls.get(program, 0) + 1
         self.renew(program)
 
@@ -71,12 +75,13 @@
                 await self.reclaim_expired()
             except (ConnectionLost, Refusal) as error:
                 logger.warning('memory_reclaim_failed', reason=error.message)
-            await self.clock.sleep_ms(CHECK_INTERVAL_MS)
+            await self.clock.sleep_ms(RECLAIM_INTERVAL_MS)
 
     async def reclaim_expired(self) -> None:
         """Free the memory of programs that the engine holds beyond their lease.
 
-        A program without a lease is given one first.
+        A program that has no lease is given one and keeps its memory until that
+        expires.
 
         Raises:
             ConnectionLost: the engine did not answer.
@@ -84,7 +89,7 @@
         """
         now_ms = self.clock.now_ms()
         for program in sorted(await self.engine.list_cache()):
-            lease_ms = self.expires_ms.setdefault(program, now_ms + LEASE_MS)
-            if lease_ms <= now_ms and program not in self.running_calls:
+            expiry_ms = self.expires_ms.setdefault(program, now_ms + LEASE_MS)
+            if expiry_ms <= now_ms and program not in self.running_calls:
                 logger.info('memory_returned', program=program)
                 await self.release(program)
