--- a/pollenwalk/commands/daemons.py
+++ b/pollenwalk/commands/daemons.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from pollenwalk.commands.options import add_config
+from pollenwalk.commands.options import add_config_option
 from pollenwalk.process.settings import read_settings
 
 
@@ -99,5 +99,5 @@
             help=daemon.summary,
             description=daemon.description,
         )
-        add_config(parser)
+        add_config_option(parser)
         parser.set_defaults(run=daemon.run)
--- a/pollenwalk/commands/demo.py
+++ b/pollenwalk/commands/demo.py
@@ -23,7 +23,7 @@
     ('wasted_cache_tokens', 'wasted cache, tokens'),
     ('cross_region_bytes', 'cross-region bytes'),
 )
-BROKEN = ('lost', 'mixed', 'doubled', 'out_of_order', 'over_budget')
+VIOLATION_COUNTS = ('lost', 'mixed', 'doubled', 'out_of_order', 'over_budget')
 
 
 def add_parser(subparsers: Any) -> None:
@@ -77,13 +77,13 @@
         asyncio.run(demo.serve(options.port, options.seed))
         return 0
     report = asyncio.run(demo.run_demo(options.programs, options.seed))
-    show(report, as_json=options.json)
+    print_report(report, as_json=options.json)
     figures = report._asdict()
-    held = report.held_after_end
-    return int(bool(held) or any(figures[name] for name in BROKEN))
+    tokens_held = report.held_after_end
+    return int(bool(tokens_held) or any(figures[name] for name in VIOLATION_COUNTS))
 
 
-def show(report: Any, *, as_json: bool) -> None:
+def print_report(report: Any, *, as_json: bool) -> None:
     """Print the report."""
     figures = {**report._asdict(), 'latency_ms': report.latency_ms._asdict()}
     if as_json:
@@ -91,6 +91,6 @@
         return
     for name, label in LABELS:
         sys.stdout.write(f'{label:<30}{figures[name]:>12}\n')
-    for rank, value in figures['latency_ms'].items():
-        text = f'whole program {rank}, ms'
-        sys.stdout.write(f'{text:<30}{value:>12.0f}\n')
+    for percentile, value in figures['latency_ms'].items():
+        label_text = f'whole program {percentile}, ms'
+        sys.stdout.write(f'{label_text:<30}{value:>12.0f}\n')
--- a/pollenwalk/commands/deployment.py
+++ b/pollenwalk/commands/deployment.py
@@ -53,7 +53,7 @@
     return 0
 
 
-def read_template(deploy: Path, role: DeployedRole) -> str:
+def read_template(deploy_path: Path, role: DeployedRole) -> str:
     """Read a role's template.
 
     Raises:
@@ -61,7 +61,7 @@
     """
     if role.name not in ROLES:
         known = ', '.join(ROLES)
-        raise UserError(f'{deploy}: unknown role {role.name!r}; known: {known}')
+        raise UserError(f'{deploy_path}: unknown role {role.name!r}; known: {known}')
     return read_text(role.template)
 
 
@@ -77,9 +77,9 @@
         UserError: no role runs there, or its settings don't hold.
     """
     host_class = fields.get(HOST_CLASS, '')
-    here = [role for role in roles if role.host_class == host_class]
-    if not here:
+    placed_roles = [role for role in roles if role.host_class == host_class]
+    if not placed_roles:
         raise UserError(f'{path}: no role runs on hosts of class {host_class!r}')
-    for role in here:
+    for role in placed_roles:
         text = fill_template(templates[role.name], fields)
         parse_settings(text, f'{role.template.name} for {path.name}', role.name)
--- a/pollenwalk/commands/experiment.py
+++ b/pollenwalk/commands/experiment.py
@@ -9,7 +9,7 @@
 
 from pollenwalk.process.logs import set_up_logs
 
-NAMES = ('overhead', 'placement', 'recovery', 'slopes', 'storm')
+EXPERIMENTS = ('overhead', 'placement', 'recovery', 'slopes', 'storm')
 INDENT = 2
 
 
@@ -20,7 +20,7 @@
         help='measure; ratios are taken within one run',
         description='docs/experiments.md tells what each experiment measures.',
     )
-    parser.add_argument('name', choices=NAMES)
+    parser.add_argument('name', choices=EXPERIMENTS)
     parser.add_argument('--seed', type=int, default=1, help='of all randomness')
     parser.add_argument('--json', action='store_true', help='one JSON object')
     parser.add_argument('--plot', type=Path, metavar='FILE', help='write a PNG')
--- a/pollenwalk/commands/explain.py
+++ b/pollenwalk/commands/explain.py
@@ -10,9 +10,9 @@
 from pollenwalk.errors import UserError
 
 # The fields that identify a line; all others are shown as they are.
-SHOWN_APART = frozenset(('time', 'level', 'event', 'module'))
+EXCLUDED_FIELDS = frozenset(('time', 'level', 'event', 'module'))
 # Beliefs of a process that a request may rest on.
-BELIEFS = frozenset(
+CONTEXT_EVENTS = frozenset(
     (
         'configuration',
         'keepers',
@@ -29,7 +29,7 @@
 MS_PER_SECOND = 1000
 
 
-class Line(NamedTuple):
+class LogLine(NamedTuple):
     """One log line.
 
     Attributes:
@@ -47,7 +47,7 @@
 
 def add_parser(subparsers: Any) -> None:
     """Add the subcommand."""
-    explain: argparse.ArgumentParser = subparsers.add_parser(
+    parser: argparse.ArgumentParser = subparsers.add_parser(
         'explain',
         help="put one request's log lines in order",
         description=(
@@ -57,8 +57,8 @@
             'between is shown indented.'
         ),
     )
-    explain.add_argument('request', metavar='REQUEST-ID')
-    explain.set_defaults(run=run_explain)
+    parser.add_argument('request', metavar='REQUEST-ID')
+    parser.set_defaults(run=run_explain)
 
 
 def run_explain(options: argparse.Namespace) -> int:
@@ -68,42 +68,52 @@
         UserError: no line tells of it.
     """
     lines = sorted(read_lines(sys.stdin), key=lambda line: line.time)
-    own = [line for line in lines if line.fields.get('request') == options.request]
-    if not own:
+    request_lines = [
+        line for line in lines if line.fields.get('request') == options.request
+    ]
+    if not request_lines:
         raise UserError(f'no line tells of request {options.request!r}')
-    for line in between(lines, own):
-        sys.stdout.write(f'{describe(line, own)}\n')
+    for line in select_lines(lines, request_lines):
+        sys.stdout.write(f'{format_line(line, request_lines)}\n')
     return 0
 
 
-def read_lines(source: Iterable[str]) -> Iterator[Line]:
+def read_lines(source: Iterable[str]) -> Iterator[LogLine]:
     """Read what is JSON in each line; other lines are passed over."""
     for text in source:
-        before, brace, rest = text.partition('{')
+        prefix, brace, rest = text.partition('{')
         try:
             fields = json.loads(brace + rest)
             time = datetime.fromisoformat(fields['time'])
         except (ValueError, KeyError, TypeError):
             continue
-        left = {name: fields[name] for name in fields if name not in SHOWN_APART}
-        yield Line(before.strip(), time, fields.get('event', ''), left)
+        other_fields = {
+            name: fields[name] for name in fields if name not in EXCLUDED_FIELDS
+        }
+        yield LogLine(prefix.strip(), time, fields.get('event', ''), other_fields)
 
 
-def between(lines: list[Line], own: list[Line]) -> Iterator[Line]:
+def select_lines(
+    lines: list[LogLine], request_lines: list[LogLine]
+) -> Iterator[LogLine]:
     """Give the request's lines and the beliefs that changed meanwhile."""
-    first = own[0].time
-    last = own[-1].time
+    first = request_lines[0].time
+    last = request_lines[-1].time
     for line in lines:
-        meanwhile = first <= line.time <= last and line.event in BELIEFS
-        if line in own or meanwhile:
+        is_context = first <= line.time <= last and line.event in CONTEXT_EVENTS
+        if line in request_lines or is_context:
             yield line
 
 
-def describe(line: Line, own: list[Line]) -> str:
+def format_line(line: LogLine, request_lines: list[LogLine]) -> str:
     """Write one line."""
-    since = (line.time - own[0].time).total_seconds() * MS_PER_SECOND
-    indent = '' if line in own else '    '
+    elapsed_ms = (line.time - request_lines[0].time).total_seconds() * MS_PER_SECOND
+    indent = '' if line in request_lines else '    '
     fields = ' '.join(
-        f'{name}={shown}' for name, shown in line.fields.items() if name != 'request'
+        f'{name}={field_value}'
+        for name, field_value in line.fields.items()
+        if name != 'request'
+    )
+    return (
+        f'{elapsed_ms:9.1f} ms  {indent}{line.source}  {line.event}  {fields}'.rstrip()
     )
-    return f'{since:9.1f} ms  {indent}{line.source}  {line.event}  {fields}'.rstrip()
--- a/pollenwalk/commands/main.py
+++ b/pollenwalk/commands/main.py
@@ -12,9 +12,9 @@
     experiment,
     explain,
     resources,
+    scenarios,
     standin,
     status,
-    testing,
 )
 from pollenwalk.errors import PollenwalkError, UserError
 
@@ -22,7 +22,7 @@
 EXIT_FAILED = 1
 EXIT_USAGE = 2
 
-MODULES = (
+COMMAND_MODULES = (
     daemons,
     resources,
     deployment,
@@ -30,7 +30,7 @@
     explain,
     demo,
     standin,
-    testing,
+    scenarios,
     experiment,
 )
 EPILOG = """\
@@ -55,7 +55,7 @@
         required=True,
         metavar='COMMAND',
     )
-    for module in MODULES:
+    for module in COMMAND_MODULES:
         module.add_parser(subparsers)
     return parser
 
--- a/pollenwalk/commands/options.py
+++ b/pollenwalk/commands/options.py
@@ -9,7 +9,7 @@
 from pollenwalk.process.settings import read_settings
 
 
-def add_config(parser: argparse.ArgumentParser) -> None:
+def add_config_option(parser: argparse.ArgumentParser) -> None:
     """Add `--config`."""
     parser.add_argument(
         '--config',
@@ -20,7 +20,7 @@
     )
 
 
-def add_store(parser: argparse.ArgumentParser) -> None:
+def add_store_options(parser: argparse.ArgumentParser) -> None:
     """Add the two ways to name the platform's object API."""
     group = parser.add_mutually_exclusive_group(required=True)
     group.add_argument(
@@ -45,7 +45,7 @@
     return HttpStore(settings.section('store')['url'])
 
 
-def split_name(text: str) -> tuple[str, str]:
+def split_resource_name(text: str) -> tuple[str, str]:
     """Split `Kind/name`.
 
     Raises:
--- a/pollenwalk/commands/resources.py
+++ b/pollenwalk/commands/resources.py
@@ -9,7 +9,11 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from pollenwalk.commands.options import add_store, open_store, split_name
+from pollenwalk.commands.options import (
+    add_store_options,
+    open_store,
+    split_resource_name,
+)
 from pollenwalk.errors import UserError
 from pollenwalk.process.clock import LoopClock
 from pollenwalk.process.resource_client import ResourceClient
@@ -22,10 +26,10 @@
     parse_resources,
 )
 
-EXIT_REFUSED = 1
+EXIT_FAILED = 1
 
 
-class Declared(NamedTuple):
+class ParsedResource(NamedTuple):
     """A resource of a file, checked, with its keys as written."""
 
     resource: Resource
@@ -55,7 +59,7 @@
             'waits until an entry has accepted it or refused it with a reason.'
         ),
     )
-    add_store(apply)
+    add_store_options(apply)
     apply.add_argument('files', nargs='+', type=Path, metavar='FILE')
     apply.add_argument(
         '--version',
@@ -64,40 +68,40 @@
     )
     apply.set_defaults(run=run_apply)
     get = subparsers.add_parser('get', help='show resources and what is in force')
-    add_store(get)
+    add_store_options(get)
     get.add_argument('names', nargs='*', metavar='Kind/name')
     get.set_defaults(run=run_get)
     delete = subparsers.add_parser('delete', help='delete a resource')
-    add_store(delete)
+    add_store_options(delete)
     delete.add_argument('name', metavar='Kind/name')
     delete.set_defaults(run=run_delete)
     watch = subparsers.add_parser('watch', help='show each verdict as it comes')
-    add_store(watch)
+    add_store_options(watch)
     watch.set_defaults(run=run_watch)
     settings = subparsers.add_parser('settings', help='print the default settings')
     settings.set_defaults(run=run_settings)
 
 
-def read_files(paths: list[Path]) -> list[Declared]:
+def read_files(paths: list[Path]) -> list[ParsedResource]:
     """Read resource files.
 
     Raises:
         InvalidFile: with every error of all files.
         UserError: a file can't be read.
     """
-    declared = []
+    parsed_resources = []
     problems = []
     for path in paths:
         try:
-            declared.extend(read_file(path))
+            parsed_resources.extend(read_file(path))
         except InvalidFile as error:
             problems.extend(error.problems)
     if problems:
         raise InvalidFile(problems)
-    return declared
+    return parsed_resources
 
 
-def read_file(path: Path) -> Iterator[Declared]:
+def read_file(path: Path) -> Iterator[ParsedResource]:
     """Read one resource file."""
     text = read_text(path)
     parser = configparser.ConfigParser(
@@ -109,7 +113,7 @@
     parser.read_string(text)
     for resource in resources:
         section = f'{resource.id.kind} {resource.id.name}'
-        yield Declared(resource, dict(parser[section]))
+        yield ParsedResource(resource, dict(parser[section]))
 
 
 def run_check(options: argparse.Namespace) -> int:
@@ -117,45 +121,49 @@
     if options.settings:
         read_settings(options.settings, options.role)
         sys.stdout.write(f'{options.settings}: settings are valid\n')
-    for declared in read_files(options.files):
-        resource_id = declared.resource.id
+    for parsed in read_files(options.files):
+        resource_id = parsed.resource.id
         sys.stdout.write(f'{resource_id.kind}/{resource_id.name}: valid\n')
     return 0
 
 
 def run_apply(options: argparse.Namespace) -> int:
     """Write resources and show the verdicts."""
-    declared = read_files(options.files)
-    if options.version is not None and len(declared) != 1:
+    parsed_resources = read_files(options.files)
+    if options.version is not None and len(parsed_resources) != 1:
         raise UserError('--version goes with exactly one resource')
-    return asyncio.run(apply_all(options, declared))
+    return asyncio.run(apply_resources(options, parsed_resources))
 
 
-async def apply_all(options: argparse.Namespace, declared: list[Declared]) -> int:
+async def apply_resources(
+    options: argparse.Namespace, parsed_resources: list[ParsedResource]
+) -> int:
     """Write all resources, programs last since they refer to upstreams."""
     store = open_store(options)
     client = ResourceClient(store, LoopClock())
     refused = 0
     try:
-        for one in sorted(declared, key=is_program):
-            if not await apply_one(client, one, options.version):
+        for parsed in sorted(parsed_resources, key=is_program):
+            if not await apply_resource(client, parsed, options.version):
                 refused += 1
     finally:
         await store.close()
-    return EXIT_REFUSED if refused else 0
+    return EXIT_FAILED if refused else 0
 
 
-def is_program(declared: Declared) -> bool:
+def is_program(parsed: ParsedResource) -> bool:
     """Tell programs from what they refer to."""
-    return declared.resource.id.kind == Kind.PROGRAM
+    return parsed.resource.id.kind == Kind.PROGRAM
 
 
-async def apply_one(client: ResourceClient, one: Declared, version: int | None) -> bool:
+async def apply_resource(
+    client: ResourceClient, parsed: ParsedResource, version: int | None
+) -> bool:
     """Write one resource; tell whether it was accepted."""
-    resource_id = one.resource.id
+    resource_id = parsed.resource.id
     name = f'{resource_id.kind}/{resource_id.name}'
-    written = await client.apply(resource_id, one.keys, version)
-    status = await client.wait_for_status(resource_id, written)
+    desired_version = await client.apply(resource_id, parsed.keys, version)
+    status = await client.wait_for_status(resource_id, desired_version)
     if status is None:
         sys.stdout.write(f'{name}: written, no verdict yet\n')
         return False
@@ -168,54 +176,56 @@
 
 def run_get(options: argparse.Namespace) -> int:
     """Show resources as JSON lines."""
-    return asyncio.run(get_all(options))
+    return asyncio.run(print_resources(options))
 
 
-async def get_all(options: argparse.Namespace) -> int:
+async def print_resources(options: argparse.Namespace) -> int:
     """Show the named resources, or all."""
     store = open_store(options)
     try:
-        shown = await ResourceClient(store, LoopClock()).list_resources()
+        views = await ResourceClient(store, LoopClock()).list_resources()
     finally:
         await store.close()
-    found = [one for one in shown if not options.names or one.name in options.names]
-    for resource in found:
+    selected = [
+        view for view in views if not options.names or view.name in options.names
+    ]
+    for resource in selected:
         sys.stdout.write(f'{json.dumps(resource._asdict())}\n')
-    missing = set(options.names) - {one.name for one in found}
+    missing = set(options.names) - {view.name for view in selected}
     for name in sorted(missing):
         sys.stderr.write(f'pollenwalk: no resource {name}\n')
-    return EXIT_REFUSED if missing else 0
+    return EXIT_FAILED if missing else 0
 
 
 def run_delete(options: argparse.Namespace) -> int:
     """Delete a resource."""
-    kind, name = split_name(options.name)
-    if kind not in [one.value for one in Kind]:
+    kind, name = split_resource_name(options.name)
+    if kind not in [member.value for member in Kind]:
         raise UserError(f'{kind!r} is no kind; kinds: {", ".join(Kind)}')
-    return asyncio.run(delete(options, ResourceId(Kind(kind), name)))
+    return asyncio.run(delete_resource(options, ResourceId(Kind(kind), name)))
 
 
-async def delete(options: argparse.Namespace, resource_id: ResourceId) -> int:
+async def delete_resource(options: argparse.Namespace, resource_id: ResourceId) -> int:
     """Write the wish to delete and wait for its verdict."""
     store = open_store(options)
     client = ResourceClient(store, LoopClock())
     try:
-        written = await client.apply(resource_id, None)
-        status = await client.wait_for_status(resource_id, written)
+        desired_version = await client.apply(resource_id, None)
+        status = await client.wait_for_status(resource_id, desired_version)
     finally:
         await store.close()
-    state = 'deleted' if status else 'written, no verdict yet'
-    sys.stdout.write(f'{resource_id.kind}/{resource_id.name}: {state}\n')
-    return 0 if status else EXIT_REFUSED
+    outcome = 'deleted' if status else 'written, no verdict yet'
+    sys.stdout.write(f'{resource_id.kind}/{resource_id.name}: {outcome}\n')
+    return 0 if status else EXIT_FAILED
 
 
 def run_watch(options: argparse.Namespace) -> int:
     """Show verdicts as JSON lines until interrupted."""
-    asyncio.run(watch(options))
+    asyncio.run(print_statuses(options))
     return 0
 
 
-async def watch(options: argparse.Namespace) -> None:
+async def print_statuses(options: argparse.Namespace) -> None:
     """Show each verdict."""
     store = open_store(options)
     try:
--- a/pollenwalk/commands/testing.py
+++ b/pollenwalk/commands/scenarios.py
@@ -7,7 +7,7 @@
 
 from pollenwalk.process.logs import set_up_logs
 
-EXIT_BROKEN = 1
+EXIT_FAILED = 1
 DEFAULT_RUNS = 200
 
 
@@ -62,7 +62,7 @@
         else:
             sys.stdout.write(f'holds  {path.stem}\n')
     sys.stdout.write(f'{len(options.files) - failed} passed, {failed} failed\n')
-    return EXIT_BROKEN if failed else 0
+    return EXIT_FAILED if failed else 0
 
 
 def run_explore(options: argparse.Namespace) -> int:
@@ -79,4 +79,4 @@
         return 0
     save(findings, options.write)
     sys.stdout.write(f'{findings.failure}\nwritten to {options.write}\n')
-    return EXIT_BROKEN
+    return EXIT_FAILED
--- a/pollenwalk/commands/standin.py
+++ b/pollenwalk/commands/standin.py
@@ -6,13 +6,13 @@
 import sys
 from typing import Any
 
-from pollenwalk.commands.options import add_config
+from pollenwalk.commands.options import add_config_option
 from pollenwalk.process.logs import set_up_logs
 from pollenwalk.process.settings import read_settings
 
-STEP_MS = 10.0
-SLOTS = 8
-KINDS = ('store', 'engine', 'service')
+DEFAULT_STEP_MS = 10.0
+DEFAULT_SLOTS = 8
+STANDIN_KINDS = ('store', 'engine', 'service')
 
 
 def add_parser(subparsers: Any) -> None:
@@ -26,7 +26,7 @@
             'real ones.'
         ),
     )
-    standin.add_argument('kind', choices=KINDS)
+    standin.add_argument('kind', choices=STANDIN_KINDS)
     standin.add_argument('--address', required=True, metavar='IP:PORT')
     standin.add_argument(
         '--name',
@@ -36,13 +36,13 @@
     standin.add_argument(
         '--step-ms',
         type=float,
-        default=STEP_MS,
+        default=DEFAULT_STEP_MS,
         help='time of one step of an engine (default 10)',
     )
     standin.add_argument(
         '--slots',
         type=int,
-        default=SLOTS,
+        default=DEFAULT_SLOTS,
         help='calls in one batch of an engine (default 8)',
     )
     standin.set_defaults(run=run_standin)
@@ -55,7 +55,7 @@
             'output. Exits with 1 when a program did not complete.'
         ),
     )
-    add_config(load)
+    add_config_option(load)
     load.set_defaults(run=run_load)
 
 
--- a/pollenwalk/commands/status.py
+++ b/pollenwalk/commands/status.py
@@ -6,7 +6,7 @@
 import sys
 from typing import Any
 
-from pollenwalk.commands.options import add_store, open_store
+from pollenwalk.commands.options import add_store_options, open_store
 from pollenwalk.connection.grpc_network import GrpcNetwork
 from pollenwalk.connection.peer import Peer
 from pollenwalk.connection.wire import Beat, Drain
@@ -15,7 +15,7 @@
 from pollenwalk.process.directory import Directory
 from pollenwalk.process.tasks import TaskSet
 
-ANSWER_MS = 2000
+ANSWER_TIMEOUT_MS = 2000
 
 
 def add_parser(subparsers: Any) -> None:
@@ -24,7 +24,7 @@
         'status',
         help='show all entries, whether they answer, and who succeeded whom',
     )
-    add_store(status)
+    add_store_options(status)
     status.set_defaults(run=run_status)
     drain: argparse.ArgumentParser = subparsers.add_parser(
         'drain',
@@ -40,10 +40,10 @@
 
 def run_status(options: argparse.Namespace) -> int:
     """Show the entries as JSON lines."""
-    return asyncio.run(show_status(options))
+    return asyncio.run(print_entries(options))
 
 
-async def show_status(options: argparse.Namespace) -> int:
+async def print_entries(options: argparse.Namespace) -> int:
     """Read the directory and ask each live entry for a sign of life."""
     store = open_store(options)
     directory = Directory(store, LoopClock())
@@ -54,18 +54,18 @@
     for record in directory.records.values():
         state = record._asdict()
         if not record.successor:
-            state['answers'] = await answers(record.address, record.incarnation)
+            state['answers'] = await is_responding(record.address, record.incarnation)
         sys.stdout.write(f'{json.dumps(state)}\n')
     return 0
 
 
-async def answers(address: str, incarnation: str) -> bool:
+async def is_responding(address: str, incarnation: str) -> bool:
     """Tell whether an incarnation answers."""
     tasks = TaskSet()
     peer = Peer(address, GrpcNetwork(), LoopClock(), tasks)
     try:
         connection = await peer.ensure_connected()
-        await peer.request(Beat('', 0), ANSWER_MS)
+        await peer.request(Beat('', 0), ANSWER_TIMEOUT_MS)
     except PollenwalkError:
         return False
     finally:
@@ -76,15 +76,15 @@
 
 def run_drain(options: argparse.Namespace) -> int:
     """Drain a sidecar."""
-    return asyncio.run(drain(options.address))
+    return asyncio.run(drain_sidecar(options.address))
 
 
-async def drain(address: str) -> int:
+async def drain_sidecar(address: str) -> int:
     """Ask a sidecar to drain."""
     tasks = TaskSet()
     peer = Peer(address, GrpcNetwork(), LoopClock(), tasks)
     try:
-        await peer.request(Drain(), ANSWER_MS)
+        await peer.request(Drain(), ANSWER_TIMEOUT_MS)
     finally:
         await peer.close()
         await tasks.cancel()
--- a/test/test_commands.py
+++ b/test/test_commands.py
@@ -9,11 +9,11 @@
 
 from standin.processes import Processes
 
-GOOD = """
+VALID_RESOURCES = """
 [Priority counter]
 level = 2
 """
-BAD = """
+INVALID_RESOURCES = """
 [Priority counter]
 level = high
 [Upstream x]
@@ -21,11 +21,11 @@
 slots = 0
 [Thing y]
 """
-REFUSED = """
+REFUSED_RESOURCES = """
 [Program new]
 upstreams = nowhere
 """
-LOAD = """
+LOAD_SETTINGS = """
 [load]
 entries = {url}
 programs = 5
@@ -55,63 +55,67 @@
 
     def run_command(self, *words: str) -> tuple[int, str]:
         """Run a command; give its exit code and all that it said."""
-        done = self.run_process(*words)
-        return done.returncode, done.stdout + done.stderr
+        completed = self.run_process(*words)
+        return completed.returncode, completed.stdout + completed.stderr
 
     def write(self, name: str, text: str) -> str:
         """Write a file and give its path."""
         return self.processes.write(name, text)
 
-    def test_operators_day(self) -> None:
+    def test_commands_on_running_processes(self) -> None:
         self.processes.start_all(('rimouski',), models=1, plains=1)
         store = ('--store', self.processes.store)
         self.check_apply(store)
-        self.check_reading(store)
+        self.check_get_delete_status(store)
         self.check_load()
         self.check_drain()
 
     def check_apply(self, store: tuple[str, str]) -> None:
         """Apply good, wrong, refused and outdated resources."""
-        good = self.write('good.ini', GOOD)
-        code, said = self.run_command('apply', *store, good)
-        self.assertEqual(0, code, said)
-        self.assertIn('Priority/counter: accepted at version', said)
-        code, said = self.run_command('apply', *store, self.write('bad.ini', BAD))
-        self.assertEqual((2, 4), (code, said.count('bad.ini:')), said)
-        refused = self.write('refused.ini', REFUSED)
-        code, said = self.run_command('apply', *store, refused)
-        self.assertEqual(1, code, said)
-        self.assertIn('refused: upstream nowhere is not declared', said)
-        newer = self.write('newer.ini', GOOD.replace('2', '4'))
-        code, said = self.run_command('apply', *store, '--version', '1', newer)
-        self.assertEqual(1, code, said)
-        self.assertIn('conflict', said)
-        code, said = self.run_command('apply', *store, str(Path('no') / 'such.ini'))
-        self.assertEqual(2, code, said)
-
-    def check_reading(self, store: tuple[str, str]) -> None:
+        valid_path = self.write('good.ini', VALID_RESOURCES)
+        code, output = self.run_command('apply', *store, valid_path)
+        self.assertEqual(0, code, output)
+        self.assertIn('Priority/counter: accepted at version', output)
+        code, output = self.run_command(
+            'apply', *store, self.write('bad.ini', INVALID_RESOURCES)
+        )
+        self.assertEqual((2, 4), (code, output.count('bad.ini:')), output)
+        refused_path = self.write('refused.ini', REFUSED_RESOURCES)
+        code, output = self.run_command('apply', *store, refused_path)
+        self.assertEqual(1, code, output)
+        self.assertIn('refused: upstream nowhere is not declared', output)
+        newer_path = self.write('newer.ini', VALID_RESOURCES.replace('2', '4'))
+        code, output = self.run_command('apply', *store, '--version', '1', newer_path)
+        self.assertEqual(1, code, output)
+        self.assertIn('conflict', output)
+        code, output = self.run_command('apply', *store, str(Path('no') / 'such.ini'))
+        self.assertEqual(2, code, output)
+
+    def check_get_delete_status(self, store: tuple[str, str]) -> None:
         """Read resources, delete one, and look at the entries."""
-        code, said = self.run_command('get', *store, 'Priority/counter')
-        shown = json.loads(said)
-        self.assertEqual((0, {'level': 2}), (code, shown['in_force']))
-        code, said = self.run_command('get', *store, 'Program/new')
-        self.assertIn('nowhere', json.loads(said)['reason'])
-        code, said = self.run_command('get', *store, 'Priority/none')
-        self.assertEqual(1, code, said)
-        code, said = self.run_command('delete', *store, 'Priority/counter')
-        self.assertEqual((0, 'Priority/counter: deleted\n'), (code, said))
-        code, said = self.run_command('delete', *store, 'counter')
-        self.assertEqual(2, code, said)
-        code, said = self.run_command('status', *store)
-        self.assertTrue(json.loads(said)['answers'], said)
+        code, output = self.run_command('get', *store, 'Priority/counter')
+        resource = json.loads(output)
+        self.assertEqual((0, {'level': 2}), (code, resource['in_force']))
+        code, output = self.run_command('get', *store, 'Program/new')
+        self.assertIn('nowhere', json.loads(output)['reason'])
+        code, output = self.run_command('get', *store, 'Priority/none')
+        self.assertEqual(1, code, output)
+        code, output = self.run_command('delete', *store, 'Priority/counter')
+        self.assertEqual((0, 'Priority/counter: deleted\n'), (code, output))
+        code, output = self.run_command('delete', *store, 'counter')
+        self.assertEqual(2, code, output)
+        code, output = self.run_command('status', *store)
+        self.assertTrue(json.loads(output)['answers'], output)
 
     def check_load(self) -> None:
         """Run the load tool."""
-        config = self.write('load.ini', LOAD.format(url=self.processes.urls[0]))
-        done = self.run_process('load', '--config', config)
+        config = self.write(
+            'load.ini', LOAD_SETTINGS.format(url=self.processes.urls[0])
+        )
+        completed = self.run_process('load', '--config', config)
         # The progress of a longer run stands on standard error.
-        result = json.loads(done.stdout)
-        self.assertEqual(0, done.returncode, done.stderr)
+        result = json.loads(completed.stdout)
+        self.assertEqual(0, completed.returncode, completed.stderr)
         self.assertEqual(result['programs_begun'], result['programs_completed'])
         self.assertGreater(result['latency_ms']['p50'], 0)
 
@@ -123,25 +127,29 @@
             for line in text.splitlines()
             if line.startswith('address')
         )
-        code, said = self.run_command('drain', address)
-        self.assertEqual((0, f'{address}: draining\n'), (code, said))
+        code, output = self.run_command('drain', address)
+        self.assertEqual((0, f'{address}: draining\n'), (code, output))
         self.processes.kill('orders-0')
-        code, said = self.run_command('drain', address)
-        self.assertEqual(1, code, said)
-
-    def test_checks_and_help(self) -> None:
-        code, said = self.run_command('check', self.write('bad.ini', BAD))
-        self.assertEqual((2, 4), (code, said.count('bad.ini:')), said)
-        code, said = self.run_command('check', self.write('good.ini', GOOD))
-        self.assertEqual((0, 'Priority/counter: valid\n'), (code, said))
-        wrong = self.write('wrong.ini', '[entry]\nadress = 1\n')
+        code, output = self.run_command('drain', address)
+        self.assertEqual(1, code, output)
+
+    def test_validation_and_usage(self) -> None:
+        code, output = self.run_command(
+            'check', self.write('bad.ini', INVALID_RESOURCES)
+        )
+        self.assertEqual((2, 4), (code, output.count('bad.ini:')), output)
+        code, output = self.run_command(
+            'check', self.write('good.ini', VALID_RESOURCES)
+        )
+        self.assertEqual((0, 'Priority/counter: valid\n'), (code, output))
+        wrong_path = self.write('wrong.ini', '[entry]\nadress = 1\n')
         for role in ('entry', 'sidecar'):
-            code, said = self.run_command(role, '--config', wrong)
-            self.assertEqual(2, code, said)
-            self.assertIn('[entry] adress: unknown key', said)
-        code, said = self.run_command('settings')
+            code, output = self.run_command(role, '--config', wrong_path)
+            self.assertEqual(2, code, output)
+            self.assertIn('[entry] adress: unknown key', output)
+        code, output = self.run_command('settings')
         self.assertEqual(0, code)
-        code, said = self.run_command('--help')
-        self.assertIn('exit codes', said)
-        code, said = self.run_command('nonsense')
+        code, output = self.run_command('--help')
+        self.assertIn('exit codes', output)
+        code, output = self.run_command('nonsense')
         self.assertEqual(2, code)
