--- a/pollenwalk/__main__.py
+++ b/pollenwalk/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line with `python -m pollenwalk`."""
+"""Entry point of `python -m pollenwalk`."""
 
 import sys
 
--- a/pollenwalk/commands/__init__.py
+++ b/pollenwalk/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The subcommands, each a small function beside its parser."""
+"""The subcommands; each module adds its parsers and has the functions to run."""
--- a/pollenwalk/commands/daemons.py
+++ b/pollenwalk/commands/daemons.py
@@ -1,4 +1,4 @@
-"""The daemons: `gateway`, `keeper`, `entry` and `sidecar`."""
+"""The subcommands that run a daemon: `gateway`, `keeper`, `entry`, `sidecar`."""
 
 import argparse
 from collections.abc import Callable
@@ -9,9 +9,10 @@
 
 
 def run_gateway(options: argparse.Namespace) -> int:
-    """Run a gateway."""
+    """Run a gateway until SIGTERM."""
     settings = read_settings(options.config, 'gateway')
-    # Each daemon imports only what it needs: memory is short on the hosts.
+    # Imported here so that each daemon loads only the modules that it uses, as
+    # the hosts have little memory.
     from pollenwalk.process import gateway_daemon  # noqa: PLC0415, WPS433
 
     gateway_daemon.run_gateway(settings, options.config)
@@ -19,8 +20,9 @@
 
 
 def run_keeper(options: argparse.Namespace) -> int:
-    """Run a keeper."""
+    """Run a keeper until SIGTERM."""
     settings = read_settings(options.config, 'keeper')
+    # Imported here to save memory, see `run_gateway`.
     from pollenwalk.process import keeper_daemon  # noqa: PLC0415, WPS433
 
     keeper_daemon.run_keeper(settings)
@@ -28,9 +30,9 @@
 
 
 def run_entry(options: argparse.Namespace) -> int:
-    """Run an entry."""
+    """Run an entry until SIGTERM."""
     settings = read_settings(options.config, 'entry')
-    # Each daemon imports only what it needs: memory is short on the hosts.
+    # Imported here to save memory, see `run_gateway`.
     from pollenwalk.process import daemon  # noqa: PLC0415, WPS433
 
     daemon.run_daemon(settings, daemon.start_entry)
@@ -38,8 +40,9 @@
 
 
 def run_sidecar(options: argparse.Namespace) -> int:
-    """Run a sidecar."""
+    """Run a sidecar until SIGTERM."""
     settings = read_settings(options.config, 'sidecar')
+    # Imported here to save memory, see `run_gateway`.
     from pollenwalk.process import daemon  # noqa: PLC0415, WPS433
 
     daemon.run_daemon(settings, daemon.start_sidecar)
@@ -47,7 +50,14 @@
 
 
 class Daemon(NamedTuple):
-    """A subcommand that runs until SIGTERM."""
+    """A subcommand that runs a process until SIGTERM.
+
+    Attributes:
+        name: name of the subcommand.
+        summary: one line for the list of subcommands.
+        description: text at the head of the subcommand's own help.
+        run: runs the daemon and returns the exit code.
+    """
 
     name: str
     summary: str
@@ -58,41 +68,41 @@
 DAEMONS = (
     Daemon(
         'gateway',
-        "pass callers' requests on to upstream hosts, until SIGTERM",
+        "forward callers' requests to upstream hosts, until SIGTERM",
         'Runs a gateway: routes requests by the configuration in the store, '
         'chooses upstream hosts and completes the prompts of turns. On SIGTERM '
-        'it takes no new callers, finishes the requests in progress and exits '
-        'with 0.',
+        'it reports that it is not ready, finishes the requests in progress '
+        'within its grace period and exits with 0.',
         run_gateway,
     ),
     Daemon(
         'keeper',
-        "keep programs' turns and budgets on disk, until SIGTERM",
-        'Runs a keeper: one of the replicas that hold the turns and the spent '
-        'tokens of programs on their disks.',
+        "store programs' turns and budgets on disk, until SIGTERM",
+        "Runs a keeper: one of the replicas that store programs' turns and the "
+        'tokens that they have spent on disk.',
         run_keeper,
     ),
     Daemon(
         'entry',
-        "take callers' requests, until SIGTERM",
-        'Runs an entry host: takes calls over HTTP and is home to a share of '
-        'the programs. On SIGTERM it hands its programs over, finishes the '
-        'requests in progress and exits with 0.',
+        "accept callers' requests, until SIGTERM",
+        'Runs an entry: accepts calls over HTTP and owns a share of the '
+        'programs. On SIGTERM it hands its programs over to another entry, '
+        'finishes the requests in progress and exits with 0.',
         run_entry,
     ),
     Daemon(
         'sidecar',
-        'stand beside an upstream, until SIGTERM',
-        'Runs beside one upstream and is the only process that talks to it. On '
-        'SIGTERM it refuses new calls, finishes those in progress and exits '
-        'with 0.',
+        'forward calls to the upstream server on its host, until SIGTERM',
+        'Runs a sidecar: forwards all calls to the upstream server on its host; '
+        'no other process connects to that server. On SIGTERM it refuses new '
+        'calls, finishes those in progress and exits with 0.',
         run_sidecar,
     ),
 )
 
 
 def add_parser(subparsers: Any) -> None:
-    """Add a subcommand for each daemon."""
+    """Add the subcommand of each daemon."""
     for daemon in DAEMONS:
         parser: argparse.ArgumentParser = subparsers.add_parser(
             daemon.name,
--- a/pollenwalk/commands/demo.py
+++ b/pollenwalk/commands/demo.py
@@ -1,4 +1,4 @@
-"""`pollenwalk demo`: the whole system on stand-ins, in one process."""
+"""The subcommand `demo`: the system and its stand-ins, all in one process."""
 
 import argparse
 import asyncio
@@ -10,6 +10,7 @@
 
 DEFAULT_PROGRAMS = 20
 DEFAULT_PORT = 8400
+# The report's counters and their labels in the table.
 LABELS = (
     ('programs_begun', 'programs begun'),
     ('programs_completed', 'programs completed'),
@@ -23,6 +24,7 @@
     ('wasted_cache_tokens', 'wasted cache, tokens'),
     ('cross_region_bytes', 'cross-region bytes'),
 )
+# Counters that are 0 unless a guarantee was violated.
 VIOLATION_COUNTS = ('lost', 'mixed', 'doubled', 'out_of_order', 'over_budget')
 
 
@@ -30,11 +32,12 @@
     """Add the subcommand."""
     parser: argparse.ArgumentParser = subparsers.add_parser(
         'demo',
-        help='run two deployments on stand-ins and show what came of it',
+        help='run the programs of two deployments on stand-ins and print a report',
         description=(
-            'Runs stand-ins, two entries and a sidecar beside each upstream '
-            "on loopback, and the two deployments' programs through them. "
-            'Every figure is counted at the stand-ins and the callers.'
+            'Runs stand-ins, two entries and a sidecar for each upstream host on '
+            "loopback, and sends the calls of the two deployments' programs "
+            'through them. All figures are counted by the stand-ins and the '
+            'callers. Exits with 1 if a guarantee was violated.'
         ),
     )
     parser.add_argument(
@@ -42,34 +45,43 @@
         action='store_true',
         help='print one JSON object instead of a table',
     )
-    parser.add_argument('--seed', type=int, default=1, help='of all randomness')
+    parser.add_argument(
+        '--seed', type=int, default=1, help='seed of the random numbers (default 1)'
+    )
     parser.add_argument(
         '--programs',
         type=int,
         default=DEFAULT_PROGRAMS,
-        help=f'programs of each deployment (default {DEFAULT_PROGRAMS})',
+        help=f'number of programs of each deployment (default {DEFAULT_PROGRAMS})',
     )
     parser.add_argument(
         '--serve',
         action='store_true',
-        help='bring the system up and keep it running until SIGTERM',
+        help='run the system without programs until SIGTERM',
     )
     parser.add_argument(
         '--port',
         type=int,
         default=DEFAULT_PORT,
         help=(
-            'with --serve: the two entries take calls on this port and the '
-            f'next (default {DEFAULT_PORT})'
+            'with --serve: the two entries accept calls on this port and the '
+            f'next one (default {DEFAULT_PORT})'
         ),
     )
-    parser.add_argument('--log-level', default='ERROR', help='of the JSON log')
+    parser.add_argument(
+        '--log-level', default='ERROR', help='lowest level that is logged'
+    )
     parser.set_defaults(run=run)
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run or serve the demo."""
-    # The stand-ins are no part of an installation, only of the source tree.
+    """Run the demo, or only its system with `--serve`.
+
+    Returns:
+        1 if a guarantee was violated, else 0.
+    """
+    # Imported here because the stand-ins are in the source tree but not in an
+    # installation.
     from standin import demo  # noqa: PLC0415, WPS433
 
     set_up_logs(options.log_level)
@@ -84,7 +96,7 @@
 
 
 def print_report(report: Any, *, as_json: bool) -> None:
-    """Print the report."""
+    """Print the report as a table or as one JSON object."""
     figures = {**report._asdict(), 'latency_ms': report.latency_ms._asdict()}
     if as_json:
         sys.stdout.write(f'{json.dumps(figures)}\n')
--- a/pollenwalk/commands/deployment.py
+++ b/pollenwalk/commands/deployment.py
@@ -1,4 +1,4 @@
-"""`check-deployment`: the deploy file, its templates and what they give."""
+"""The subcommand `check-deployment`: validates a deploy file and its templates."""
 
 import argparse
 import sys
@@ -21,12 +21,12 @@
     """Add the subcommand."""
     parser = subparsers.add_parser(
         'check-deployment',
-        help="check the platform's deploy file and the settings that it gives",
+        help="check the platform's deploy file and the settings made from it",
         description=(
             'Checks the roles of a deploy file and that their templates can be '
             'read. With example settings of a host, as the platform writes them, '
-            'fills in the templates of the roles that run there and checks the '
-            'result as the process would.'
+            'it also fills in the templates of the roles that run on this host '
+            'and validates the settings as the processes do when they start.'
         ),
     )
     parser.add_argument('deploy', type=Path, metavar='FILE')
@@ -36,13 +36,13 @@
         action='append',
         default=[],
         metavar='FILE',
-        help='name=value lines, one file for each class of hosts; may be repeated',
+        help='example settings of a host, as lines name=value; may be repeated',
     )
     parser.set_defaults(run=run_check)
 
 
 def run_check(options: argparse.Namespace) -> int:
-    """Check a deploy file without starting anything."""
+    """Check a deploy file and print its roles; nothing is started."""
     roles = read_deploy_file(options.deploy)
     templates = {role.name: read_template(options.deploy, role) for role in roles}
     for path in options.host_settings:
@@ -54,10 +54,14 @@
 
 
 def read_template(deploy_path: Path, role: DeployedRole) -> str:
-    """Read a role's template.
+    """Read the settings template of a role.
+
+    Args:
+        deploy_path: the deploy file, for error messages.
+        role: the role.
 
     Raises:
-        UserError: the role or the template doesn't exist.
+        UserError: the role is unknown or the template can't be read.
     """
     if role.name not in ROLES:
         known = ', '.join(ROLES)
@@ -71,10 +75,17 @@
     roles: list[DeployedRole],
     templates: dict[str, str],
 ) -> None:
-    """Check the settings of every role that runs on a class of hosts.
+    """Check the settings of all roles that run on an example host.
+
+    Args:
+        path: file of the example host's settings, for error messages.
+        fields: the settings in that file, which name the class of the host.
+        roles: all roles of the deploy file.
+        templates: settings template of each role, by the role's name.
 
     Raises:
-        UserError: no role runs there, or its settings don't hold.
+        UserError: no role runs on hosts of this class, or the settings of a
+            role are invalid.
     """
     host_class = fields.get(HOST_CLASS, '')
     placed_roles = [role for role in roles if role.host_class == host_class]
--- a/pollenwalk/commands/experiment.py
+++ b/pollenwalk/commands/experiment.py
@@ -1,4 +1,4 @@
-"""`pollenwalk experiment`: measurements, each a table and one JSON object."""
+"""The subcommand `experiment`: runs a measurement and prints its result."""
 
 import argparse
 import importlib
@@ -17,18 +17,26 @@
     """Add the subcommand."""
     parser: argparse.ArgumentParser = subparsers.add_parser(
         'experiment',
-        help='measure; ratios are taken within one run',
-        description='docs/experiments.md tells what each experiment measures.',
+        help='run a measurement; ratios are taken between values of one run',
+        description='docs/experiments.md describes what each experiment measures.',
     )
     parser.add_argument('name', choices=EXPERIMENTS)
-    parser.add_argument('--seed', type=int, default=1, help='of all randomness')
-    parser.add_argument('--json', action='store_true', help='one JSON object')
-    parser.add_argument('--plot', type=Path, metavar='FILE', help='write a PNG')
+    parser.add_argument(
+        '--seed', type=int, default=1, help='seed of the random numbers (default 1)'
+    )
+    parser.add_argument(
+        '--json', action='store_true', help='print the JSON object on one line'
+    )
+    parser.add_argument('--plot', type=Path, metavar='FILE', help='write a plot as PNG')
     parser.set_defaults(run=run)
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run one experiment."""
+    """Run one experiment and print its result as JSON.
+
+    Returns:
+        1 if a plot was asked for and the experiment has none, else 0.
+    """
     set_up_logs('CRITICAL')
     module = importlib.import_module(f'standin.experiments.{options.name}')
     result = module.run(options.seed)
--- a/pollenwalk/commands/explain.py
+++ b/pollenwalk/commands/explain.py
@@ -1,4 +1,4 @@
-"""`pollenwalk explain`: what happened to one request, from the logs."""
+"""The subcommand `explain`: the log lines of one request, in order of time."""
 
 import argparse
 import json
@@ -9,9 +9,11 @@
 
 from pollenwalk.errors import UserError
 
-# The fields that identify a line; all others are shown as they are.
+# Fields that are not printed as `name=value`. Time and event have columns of
+# their own; level and module are left out.
 EXCLUDED_FIELDS = frozenset(('time', 'level', 'event', 'module'))
-# Beliefs of a process that a request may rest on.
+# Events about the state of a process that may affect how it handles a request,
+# such as a new configuration or a lost keeper.
 CONTEXT_EVENTS = frozenset(
     (
         'configuration',
@@ -30,13 +32,13 @@
 
 
 class LogLine(NamedTuple):
-    """One log line.
+    """One parsed log line.
 
     Attributes:
-        source: what stood before the JSON, such as a host's name.
-        time: of the process that wrote it.
-        event: what happened.
-        fields: everything else.
+        source: the text before the JSON, such as a host's name.
+        time: when it was logged, by the clock of the process that logged it.
+        event: name of the event.
+        fields: all other fields but those in EXCLUDED_FIELDS.
     """
 
     source: str
@@ -49,12 +51,12 @@
     """Add the subcommand."""
     parser: argparse.ArgumentParser = subparsers.add_parser(
         'explain',
-        help="put one request's log lines in order",
+        help="print one request's log lines in order of time",
         description=(
             'Reads log lines of one or several processes from standard input '
-            'and writes those of one request in the order of their time, with '
-            'the time since its first line. What processes came to believe in '
-            'between is shown indented.'
+            'and prints those of one request in order of time, each with the '
+            'time since the first. Between them, indented, are lines about '
+            'changes in the state of the processes, such as a new configuration.'
         ),
     )
     parser.add_argument('request', metavar='REQUEST-ID')
@@ -62,24 +64,26 @@
 
 
 def run_explain(options: argparse.Namespace) -> int:
-    """Explain one request.
+    """Print the log lines of one request and of state changes meanwhile.
 
     Raises:
-        UserError: no line tells of it.
+        UserError: there is no log line of the request.
     """
     lines = sorted(read_lines(sys.stdin), key=lambda line: line.time)
     request_lines = [
         line for line in lines if line.fields.get('request') == options.request
     ]
     if not request_lines:
-        raise UserError(f'no line tells of request {options.request!r}')
+        raise UserError(
+            f'standard input has no log line of request {options.request!r}'
+        )
     for line in select_lines(lines, request_lines):
         sys.stdout.write(f'{format_line(line, request_lines)}\n')
     return 0
 
 
 def read_lines(source: Iterable[str]) -> Iterator[LogLine]:
-    """Read what is JSON in each line; other lines are passed over."""
+    """Parse the JSON in each line; skip lines without JSON or a valid time."""
     for text in source:
         prefix, brace, rest = text.partition('{')
         try:
@@ -96,7 +100,12 @@
 def select_lines(
     lines: list[LogLine], request_lines: list[LogLine]
 ) -> Iterator[LogLine]:
-    """Give the request's lines and the beliefs that changed meanwhile."""
+    """Yield the request's lines and the context events during the request.
+
+    Args:
+        lines: all lines, in order of time.
+        request_lines: the lines of the request among them.
+    """
     first = request_lines[0].time
     last = request_lines[-1].time
     for line in lines:
@@ -106,7 +115,7 @@
 
 
 def format_line(line: LogLine, request_lines: list[LogLine]) -> str:
-    """Write one line."""
+    """Format a line with its time since the first line of the request, in ms."""
     elapsed_ms = (line.time - request_lines[0].time).total_seconds() * MS_PER_SECOND
     indent = '' if line in request_lines else '    '
     fields = ' '.join(
--- a/pollenwalk/commands/main.py
+++ b/pollenwalk/commands/main.py
@@ -1,4 +1,4 @@
-"""The command line: picks a subcommand and shows errors as one line."""
+"""The command line: runs a subcommand and prints errors to standard error."""
 
 import argparse
 import sys
@@ -35,14 +35,15 @@
 )
 EPILOG = """\
 exit codes:
-  0  done
-  1  the work failed: a promise was broken, a run did not complete
-  2  the command line, a settings file or a resource file is wrong
+  0  success
+  1  the command failed: for example, a resource was refused, a guarantee was
+     violated or a program did not complete
+  2  the command line, a settings file or a resource file is invalid
 """
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Build the parser of all subcommands."""
+    """Build the parser of the command line with all subcommands."""
     parser = argparse.ArgumentParser(
         prog='pollenwalk',
         description='A scheduler for agent programs.',
@@ -64,8 +65,8 @@
     """Run one subcommand.
 
     Args:
-        arguments: the words after the program's name; those of the process
-            when None.
+        arguments: the arguments without the program's name; None for those of
+            the process.
 
     Returns:
         The exit code.
--- a/pollenwalk/commands/options.py
+++ b/pollenwalk/commands/options.py
@@ -1,4 +1,4 @@
-"""Options that several subcommands share."""
+"""Options that several subcommands have in common."""
 
 import argparse
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 
 def add_config_option(parser: argparse.ArgumentParser) -> None:
-    """Add `--config`."""
+    """Add the required option `--config`."""
     parser.add_argument(
         '--config',
         type=Path,
@@ -21,23 +21,29 @@
 
 
 def add_store_options(parser: argparse.ArgumentParser) -> None:
-    """Add the two ways to name the platform's object API."""
+    """Add `--store` and `--config`; one of them must name the object API."""
     group = parser.add_mutually_exclusive_group(required=True)
     group.add_argument(
         '--store',
         metavar='URL',
-        help="the platform's object API",
+        help="URL of the platform's object API",
     )
     group.add_argument(
         '--config',
         type=Path,
         metavar='FILE',
-        help='settings file whose [store] names it',
+        help='settings file whose [store] section has the URL',
     )
 
 
 def open_store(options: argparse.Namespace) -> HttpStore:
-    """Open the store that the options name."""
+    """Open the store that `--store` or the settings file names.
+
+    Logs are set up as well: errors go to standard error.
+
+    Raises:
+        UserError: the settings file is invalid or can't be read.
+    """
     set_up_logs('ERROR')
     if options.store:
         return HttpStore(options.store.rstrip('/'))
@@ -46,10 +52,10 @@
 
 
 def split_resource_name(text: str) -> tuple[str, str]:
-    """Split `Kind/name`.
+    """Split `Kind/name` into kind and name.
 
     Raises:
-        UserError: it has another form.
+        UserError: the text has another form.
     """
     kind, slash, name = text.partition('/')
     if not slash or not name:
--- a/pollenwalk/commands/resources.py
+++ b/pollenwalk/commands/resources.py
@@ -1,4 +1,4 @@
-"""`check`, `apply`, `get`, `watch`, `delete` and `settings`, for operators."""
+"""Subcommands for resources and settings, such as `check`, `apply` and `get`."""
 
 import argparse
 import asyncio
@@ -30,7 +30,12 @@
 
 
 class ParsedResource(NamedTuple):
-    """A resource of a file, checked, with its keys as written."""
+    """A valid resource of a resource file.
+
+    Attributes:
+        resource: the resource.
+        keys: its keys as they are written in the file.
+    """
 
     resource: Resource
     keys: dict[str, str]
@@ -40,7 +45,7 @@
     """Add all subcommands for resources and settings."""
     check = subparsers.add_parser(
         'check',
-        help='check resource files, or a settings file, and show every error',
+        help='check resource files or a settings file and print all errors',
     )
     check.add_argument('files', nargs='*', type=Path, metavar='FILE')
     check.add_argument('--settings', type=Path, metavar='FILE')
@@ -48,15 +53,15 @@
         '--role',
         choices=tuple(ROLES),
         default='entry',
-        help='whose settings they are (default entry)',
+        help='role of the process that the settings are for (default entry)',
     )
     check.set_defaults(run=run_check)
     apply = subparsers.add_parser(
         'apply',
-        help='write resources and wait for the verdict on each',
+        help='write resources and wait until each is accepted or refused',
         description=(
-            'Writes each resource of the files by a conditional update and '
-            'waits until an entry has accepted it or refused it with a reason.'
+            'Writes the resources of the files by conditional updates and waits '
+            'until an entry has accepted each or refused it with a reason.'
         ),
     )
     add_store_options(apply)
@@ -64,10 +69,10 @@
     apply.add_argument(
         '--version',
         type=int,
-        help='refuse the update unless the one resource has this version',
+        help='update only if the resource has this version; for a single resource',
     )
     apply.set_defaults(run=run_apply)
-    get = subparsers.add_parser('get', help='show resources and what is in force')
+    get = subparsers.add_parser('get', help='print resources and their specs in force')
     add_store_options(get)
     get.add_argument('names', nargs='*', metavar='Kind/name')
     get.set_defaults(run=run_get)
@@ -75,7 +80,7 @@
     add_store_options(delete)
     delete.add_argument('name', metavar='Kind/name')
     delete.set_defaults(run=run_delete)
-    watch = subparsers.add_parser('watch', help='show each verdict as it comes')
+    watch = subparsers.add_parser('watch', help='print each new acceptance status')
     add_store_options(watch)
     watch.set_defaults(run=run_watch)
     settings = subparsers.add_parser('settings', help='print the default settings')
@@ -83,10 +88,10 @@
 
 
 def read_files(paths: list[Path]) -> list[ParsedResource]:
-    """Read resource files.
+    """Read and validate resource files.
 
     Raises:
-        InvalidFile: with every error of all files.
+        InvalidFile: files have errors; lists those of all files.
         UserError: a file can't be read.
     """
     parsed_resources = []
@@ -102,7 +107,12 @@
 
 
 def read_file(path: Path) -> Iterator[ParsedResource]:
-    """Read one resource file."""
+    """Yield the resources of one file.
+
+    Raises:
+        InvalidFile: the file has errors; lists all of them.
+        UserError: the file can't be read.
+    """
     text = read_text(path)
     parser = configparser.ConfigParser(
         interpolation=None,
@@ -117,7 +127,7 @@
 
 
 def run_check(options: argparse.Namespace) -> int:
-    """Check files without writing anything."""
+    """Validate files; nothing is written to the store."""
     if options.settings:
         read_settings(options.settings, options.role)
         sys.stdout.write(f'{options.settings}: settings are valid\n')
@@ -128,17 +138,21 @@
 
 
 def run_apply(options: argparse.Namespace) -> int:
-    """Write resources and show the verdicts."""
+    """Write the resources of files and print whether each was accepted."""
     parsed_resources = read_files(options.files)
     if options.version is not None and len(parsed_resources) != 1:
-        raise UserError('--version goes with exactly one resource')
+        raise UserError('--version requires exactly one resource in the files')
     return asyncio.run(apply_resources(options, parsed_resources))
 
 
 async def apply_resources(
     options: argparse.Namespace, parsed_resources: list[ParsedResource]
 ) -> int:
-    """Write all resources, programs last since they refer to upstreams."""
+    """Write resources, programs last because they refer to upstreams.
+
+    Returns:
+        1 if any resource was refused or has no acceptance status yet, else 0.
+    """
     store = open_store(options)
     client = ResourceClient(store, LoopClock())
     refused = 0
@@ -152,20 +166,29 @@
 
 
 def is_program(parsed: ParsedResource) -> bool:
-    """Tell programs from what they refer to."""
+    """Return whether the resource is a program."""
     return parsed.resource.id.kind == Kind.PROGRAM
 
 
 async def apply_resource(
     client: ResourceClient, parsed: ParsedResource, version: int | None
 ) -> bool:
-    """Write one resource; tell whether it was accepted."""
+    """Write one resource and print whether it was accepted.
+
+    Args:
+        client: client of the store.
+        parsed: the resource.
+        version: version that the stored resource must have; None for any.
+
+    Returns:
+        Whether the resource was accepted.
+    """
     resource_id = parsed.resource.id
     name = f'{resource_id.kind}/{resource_id.name}'
     desired_version = await client.apply(resource_id, parsed.keys, version)
     status = await client.wait_for_status(resource_id, desired_version)
     if status is None:
-        sys.stdout.write(f'{name}: written, no verdict yet\n')
+        sys.stdout.write(f'{name}: written, no acceptance status yet\n')
         return False
     if status.reason:
         sys.stdout.write(f'{name}: refused: {status.reason}\n')
@@ -175,12 +198,16 @@
 
 
 def run_get(options: argparse.Namespace) -> int:
-    """Show resources as JSON lines."""
+    """Print resources as JSON lines."""
     return asyncio.run(print_resources(options))
 
 
 async def print_resources(options: argparse.Namespace) -> int:
-    """Show the named resources, or all."""
+    """Print the named resources, or all if none is named.
+
+    Returns:
+        1 if a named resource doesn't exist, else 0.
+    """
     store = open_store(options)
     try:
         views = await ResourceClient(store, LoopClock()).list_resources()
@@ -193,20 +220,24 @@
         sys.stdout.write(f'{json.dumps(resource._asdict())}\n')
     missing = set(options.names) - {view.name for view in selected}
     for name in sorted(missing):
-        sys.stderr.write(f'pollenwalk: no resource {name}\n')
+        sys.stderr.write(f'pollenwalk: no such resource: {name}\n')
     return EXIT_FAILED if missing else 0
 
 
 def run_delete(options: argparse.Namespace) -> int:
-    """Delete a resource."""
+    """Delete the named resource."""
     kind, name = split_resource_name(options.name)
     if kind not in [member.value for member in Kind]:
-        raise UserError(f'{kind!r} is no kind; kinds: {", ".join(Kind)}')
+        raise UserError(f'unknown kind {kind!r}; known: {", ".join(Kind)}')
     return asyncio.run(delete_resource(options, ResourceId(Kind(kind), name)))
 
 
 async def delete_resource(options: argparse.Namespace, resource_id: ResourceId) -> int:
-    """Write the wish to delete and wait for its verdict."""
+    """Write the deletion of a resource and wait until it has been evaluated.
+
+    Returns:
+        0 if the deletion has an acceptance status, else 1 (after a timeout).
+    """
     store = open_store(options)
     client = ResourceClient(store, LoopClock())
     try:
@@ -214,19 +245,19 @@
         status = await client.wait_for_status(resource_id, desired_version)
     finally:
         await store.close()
-    outcome = 'deleted' if status else 'written, no verdict yet'
+    outcome = 'deleted' if status else 'written, no acceptance status yet'
     sys.stdout.write(f'{resource_id.kind}/{resource_id.name}: {outcome}\n')
     return 0 if status else EXIT_FAILED
 
 
 def run_watch(options: argparse.Namespace) -> int:
-    """Show verdicts as JSON lines until interrupted."""
+    """Print acceptance statuses as JSON lines until interrupted."""
     asyncio.run(print_statuses(options))
     return 0
 
 
 async def print_statuses(options: argparse.Namespace) -> None:
-    """Show each verdict."""
+    """Print the stored acceptance statuses, then each new one."""
     store = open_store(options)
     try:
         async for status in ResourceClient(store, LoopClock()).watch():
@@ -237,6 +268,6 @@
 
 
 def run_settings(options: argparse.Namespace) -> int:
-    """Print the commented defaults."""
+    """Print the default settings with their comments."""
     sys.stdout.write(default_text())
     return 0
--- a/pollenwalk/commands/scenarios.py
+++ b/pollenwalk/commands/scenarios.py
@@ -1,4 +1,7 @@
-"""`scenario` and `explore`: the promises under faults, in virtual time."""
+"""The subcommands `scenario` and `explore`: tests with faults in virtual time.
+
+Both run the system on stand-ins and check that its guarantees hold.
+"""
 
 import argparse
 import sys
@@ -12,22 +15,24 @@
 
 
 def add_parser(subparsers: Any) -> None:
-    """Add both subcommands."""
+    """Add the subcommands `scenario` and `explore`."""
     scenario: argparse.ArgumentParser = subparsers.add_parser(
         'scenario',
         help='run scenario files',
-        description='Runs scenario files; docs/scenarios.md has the language.',
+        description='Runs scenario files; docs/scenarios.md describes their language.',
     )
     scenario.add_argument('files', nargs='+', type=Path, metavar='FILE')
-    scenario.add_argument('--log-level', default='ERROR', help='of the JSON log')
+    scenario.add_argument(
+        '--log-level', default='ERROR', help='lowest level that is logged'
+    )
     scenario.set_defaults(run=run_scenarios)
     explore: argparse.ArgumentParser = subparsers.add_parser(
         'explore',
-        help='search random faults for a broken promise',
+        help='search for random faults that violate a guarantee',
         description=(
-            'Generates random scenarios and checks every promise at the '
-            'stand-ins. A failing run is made small and written as a file. '
-            'Exits with 1 on a breach.'
+            'Runs random scenarios and checks all guarantees by what the '
+            'stand-ins and the callers saw. A failing scenario is reduced to a '
+            'smaller one and written to a file; the exit code is then 1.'
         ),
     )
     explore.add_argument('--seed', type=int, default=1)
@@ -37,14 +42,19 @@
         type=Path,
         default=Path('found.txt'),
         metavar='FILE',
-        help='where a failing run goes (default found.txt)',
+        help='file for a failing scenario (default found.txt)',
     )
     explore.set_defaults(run=run_explore)
 
 
 def run_scenarios(options: argparse.Namespace) -> int:
-    """Run scenario files and show a line for each."""
-    # The stand-ins are no part of an installation, only of the source tree.
+    """Run scenario files and print a line for each.
+
+    Returns:
+        1 if a scenario failed, else 0.
+    """
+    # Imported here because the stand-ins are in the source tree but not in an
+    # installation.
     from standin.scenario.language import read_scenario  # noqa: PLC0415, WPS433
     from standin.scenario.runner import (  # noqa: PLC0415, WPS433
         ScenarioFailed,
@@ -66,14 +76,18 @@
 
 
 def run_explore(options: argparse.Namespace) -> int:
-    """Explore random faults."""
+    """Run random scenarios until one fails, and write that one to a file.
+
+    Returns:
+        1 if a scenario failed, else 0.
+    """
     from standin.scenario.explorer import explore, save  # noqa: PLC0415, WPS433
 
     set_up_logs('CRITICAL')
     findings = explore(options.seed, options.runs)
     sys.stdout.write(
         f'seed {options.seed}: {findings.runs} runs, {findings.steps} steps, '
-        f'{"a breach" if findings.failure else "no breach"}\n',
+        f'{"a violation" if findings.failure else "no violation"}\n',
     )
     if not findings.failure:
         return 0
--- a/pollenwalk/commands/standin.py
+++ b/pollenwalk/commands/standin.py
@@ -1,4 +1,4 @@
-"""`pollenwalk standin` and `pollenwalk load`: trying separate processes by hand."""
+"""The subcommands `standin` and `load`, to try out the daemons by hand."""
 
 import argparse
 import asyncio
@@ -16,14 +16,14 @@
 
 
 def add_parser(subparsers: Any) -> None:
-    """Add both subcommands."""
+    """Add the subcommands `standin` and `load`."""
     standin: argparse.ArgumentParser = subparsers.add_parser(
         'standin',
-        help='run one stand-in of an outside system, until SIGTERM',
+        help='run one stand-in for an external system, until SIGTERM',
         description=(
             'Runs a stand-in for the object store, a model engine or a plain '
-            'service on its own address, for trying the daemons without the '
-            'real ones.'
+            'service on the given address, so that the daemons can be tried out '
+            'without the real systems.'
         ),
     )
     standin.add_argument('kind', choices=STANDIN_KINDS)
@@ -31,28 +31,29 @@
     standin.add_argument(
         '--name',
         default='service',
-        help='of a service; shown in its answers',
+        help='name of a service; part of its answers (default service)',
     )
     standin.add_argument(
         '--step-ms',
         type=float,
         default=DEFAULT_STEP_MS,
-        help='time of one step of an engine (default 10)',
+        help='duration of one step of an engine, in ms (default 10)',
     )
     standin.add_argument(
         '--slots',
         type=int,
         default=DEFAULT_SLOTS,
-        help='calls in one batch of an engine (default 8)',
+        help='number of calls in one batch of an engine (default 8)',
     )
     standin.set_defaults(run=run_standin)
     load: argparse.ArgumentParser = subparsers.add_parser(
         'load',
-        help='run programs against entries and report what came of it',
+        help='run programs against running entries and print a report',
         description=(
-            "Runs the two deployments' programs against running entries. "
-            'Progress goes to standard error, one JSON object to standard '
-            'output. Exits with 1 when a program did not complete.'
+            'Runs the programs of two deployments against running entries. '
+            'Prints the progress to standard error and the report as one JSON '
+            'object to standard output. Exits with 1 if a program did not '
+            'complete.'
         ),
     )
     add_config_option(load)
@@ -60,8 +61,9 @@
 
 
 def run_standin(options: argparse.Namespace) -> int:
-    """Run a stand-in."""
-    # The stand-ins are no part of an installation, only of the source tree.
+    """Run a stand-in until SIGTERM."""
+    # Imported here because the stand-ins are in the source tree but not in an
+    # installation.
     from standin.serve import make_app, serve_standin  # noqa: PLC0415, WPS433
 
     set_up_logs('ERROR')
@@ -71,7 +73,11 @@
 
 
 def run_load(options: argparse.Namespace) -> int:
-    """Run the load tool."""
+    """Run programs against the entries and print the report.
+
+    Returns:
+        1 if a program did not complete, else 0.
+    """
     from standin.load import run_programs  # noqa: PLC0415, WPS433
 
     settings = read_settings(options.config, 'load')
--- a/pollenwalk/commands/status.py
+++ b/pollenwalk/commands/status.py
@@ -1,4 +1,4 @@
-"""`status` and `drain`: what operators ask of running processes."""
+"""The subcommands `status` and `drain`, which send requests to running processes."""
 
 import argparse
 import asyncio
@@ -15,23 +15,24 @@
 from pollenwalk.process.directory import Directory
 from pollenwalk.process.tasks import TaskSet
 
+# Maximum time until a process has answered a request.
 ANSWER_TIMEOUT_MS = 2000
 
 
 def add_parser(subparsers: Any) -> None:
-    """Add both subcommands."""
+    """Add the subcommands `status` and `drain`."""
     status: argparse.ArgumentParser = subparsers.add_parser(
         'status',
-        help='show all entries, whether they answer, and who succeeded whom',
+        help='print all entries, whether they answer, and their successors',
     )
     add_store_options(status)
     status.set_defaults(run=run_status)
     drain: argparse.ArgumentParser = subparsers.add_parser(
         'drain',
-        help='let a sidecar take no new calls and finish those it has',
+        help='let a sidecar accept no new calls and finish those in progress',
         description=(
-            'Tells one sidecar to drain. Entries stop sending to it at once; '
-            'its process goes on until SIGTERM.'
+            'Tells one sidecar to drain. Entries stop sending calls to it at '
+            'once; its process continues until SIGTERM.'
         ),
     )
     drain.add_argument('address', metavar='IP:PORT', help="the sidecar's address")
@@ -39,12 +40,18 @@
 
 
 def run_status(options: argparse.Namespace) -> int:
-    """Show the entries as JSON lines."""
+    """Print the entries as JSON lines."""
     return asyncio.run(print_entries(options))
 
 
 async def print_entries(options: argparse.Namespace) -> int:
-    """Read the directory and ask each live entry for a sign of life."""
+    """Print the record of each entry, and whether it answers.
+
+    Only entries without a successor are asked.
+
+    Raises:
+        StoreUnavailable: the store did not answer.
+    """
     store = open_store(options)
     directory = Directory(store, LoopClock())
     try:
@@ -52,15 +59,23 @@
     finally:
         await store.close()
     for record in directory.records.values():
-        state = record._asdict()
+        record_fields = record._asdict()
         if not record.successor:
-            state['answers'] = await is_responding(record.address, record.incarnation)
-        sys.stdout.write(f'{json.dumps(state)}\n')
+            record_fields['answers'] = await is_responding(
+                record.address, record.incarnation
+            )
+        sys.stdout.write(f'{json.dumps(record_fields)}\n')
     return 0
 
 
 async def is_responding(address: str, incarnation: str) -> bool:
-    """Tell whether an incarnation answers."""
+    """Return whether an incarnation of an entry answers at an address.
+
+    Args:
+        address: `ip:port` of the entry.
+        incarnation: the expected incarnation. If another one answers, for
+            example after a restart, the result is False.
+    """
     tasks = TaskSet()
     peer = Peer(address, GrpcNetwork(), LoopClock(), tasks)
     try:
@@ -80,7 +95,13 @@
 
 
 async def drain_sidecar(address: str) -> int:
-    """Ask a sidecar to drain."""
+    """Tell the sidecar at an address, `ip:port`, to drain.
+
+    Raises:
+        ConnectionLost: the sidecar can't be reached, or did not answer within
+            ANSWER_TIMEOUT_MS.
+        Refusal: the sidecar refused.
+    """
     tasks = TaskSet()
     peer = Peer(address, GrpcNetwork(), LoopClock(), tasks)
     try:
--- a/test/test_commands.py
+++ b/test/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line against running processes, as operators use it."""
+"""Tests of the command line, as an operator uses it, with running processes."""
 
 import json
 import subprocess
@@ -37,7 +37,7 @@
 
 
 class CommandsTest(testtools.TestCase):
-    """One small system for all commands."""
+    """Runs the commands against a small system of separate processes."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -45,7 +45,7 @@
         self.addCleanup(self.processes.close)
 
     def run_process(self, *words: str) -> subprocess.CompletedProcess[str]:
-        """Run a command to its end."""
+        """Run a command until it exits."""
         return subprocess.run(
             [sys.executable, '-m', 'pollenwalk', *words],
             capture_output=True,
@@ -54,12 +54,12 @@
         )
 
     def run_command(self, *words: str) -> tuple[int, str]:
-        """Run a command; give its exit code and all that it said."""
+        """Run a command and return its exit code and its output, errors included."""
         completed = self.run_process(*words)
         return completed.returncode, completed.stdout + completed.stderr
 
     def write(self, name: str, text: str) -> str:
-        """Write a file and give its path."""
+        """Write a file and return its path."""
         return self.processes.write(name, text)
 
     def test_commands_on_running_processes(self) -> None:
@@ -71,7 +71,7 @@
         self.check_drain()
 
     def check_apply(self, store: tuple[str, str]) -> None:
-        """Apply good, wrong, refused and outdated resources."""
+        """Apply valid, invalid, refused and outdated resources and a missing file."""
         valid_path = self.write('good.ini', VALID_RESOURCES)
         code, output = self.run_command('apply', *store, valid_path)
         self.assertEqual(0, code, output)
@@ -92,7 +92,7 @@
         self.assertEqual(2, code, output)
 
     def check_get_delete_status(self, store: tuple[str, str]) -> None:
-        """Read resources, delete one, and look at the entries."""
+        """Get and delete resources, and print the status of the entries."""
         code, output = self.run_command('get', *store, 'Priority/counter')
         resource = json.loads(output)
         self.assertEqual((0, {'level': 2}), (code, resource['in_force']))
@@ -108,19 +108,19 @@
         self.assertTrue(json.loads(output)['answers'], output)
 
     def check_load(self) -> None:
-        """Run the load tool."""
+        """Run programs with `load` and check that all complete."""
         config = self.write(
             'load.ini', LOAD_SETTINGS.format(url=self.processes.urls[0])
         )
         completed = self.run_process('load', '--config', config)
-        # The progress of a longer run stands on standard error.
+        # Standard output holds only the result; progress goes to standard error.
         result = json.loads(completed.stdout)
         self.assertEqual(0, completed.returncode, completed.stderr)
         self.assertEqual(result['programs_begun'], result['programs_completed'])
         self.assertGreater(result['latency_ms']['p50'], 0)
 
     def check_drain(self) -> None:
-        """Drain a sidecar; one that is not there is an error."""
+        """Drain a running sidecar; draining a killed one fails."""
         text = (self.processes.folder / 'orders-0.ini').read_text()
         address = next(
             line.partition('=')[2].strip()
