--- a/pollenwalk/commands/deployment.py
+++ b/pollenwalk/commands/deployment.py
@@ -24,9 +24,10 @@
         help="check the platform's deploy file and the settings made from it",
         description=(
             'Checks the roles of a deploy file and that their templates can be '
-            'read. With example settings of a host, as the platform writes them, '
-            'it also fills in the templates of the roles that run on this host '
-            'and validates the settings as the processes do when they start.'
+            'read. With an example of a field file that the platform writes for '
+            'a host, it also fills in the templates of the roles that run on '
+            'this host and validates the settings as the processes do when they '
+            'start.'
         ),
     )
     parser.add_argument('deploy', type=Path, metavar='FILE')
@@ -36,7 +37,7 @@
         action='append',
         default=[],
         metavar='FILE',
-        help='example settings of a host, as lines name=value; may be repeated',
+        help='example of a field file of a host, lines name=value; may be repeated',
     )
     parser.set_defaults(run=run_check)
 
@@ -78,8 +79,8 @@
     """Check the settings of all roles that run on an example host.
 
     Args:
-        path: file of the example host's settings, for error messages.
-        fields: the settings in that file, which name the class of the host.
+        path: the host's field file, for error messages.
+        fields: the host's fields; HOST_CLASS names its class.
         roles: all roles of the deploy file.
         templates: settings template of each role, by the role's name.
 
