--- a/pollenwalk/commands/explain.py
+++ b/pollenwalk/commands/explain.py
@@ -1,4 +1,4 @@
-"""`pollenwalk explain`: what happened to one request, from the logs."""
+"""The subcommand `explain`: the log lines of one request, in order of time."""
 
 import argparse
 import json
@@ -9,10 +9,12 @@
 
 from pollenwalk.errors import UserError
 
-# The fields that identify a line; all others are shown as they are.
-SHOWN_APART = frozenset(('time', 'level', 'event', 'module'))
-# Beliefs of a process that a request may rest on.
-BELIEFS = frozenset(
+# Fields that are not printed as `name=value`. Time and event have columns of
+# their own; level and module are left out.
+EXCLUDED_FIELDS = frozenset(('time', 'level', 'event', 'module'))
+# Events about the state of a process that may affect how it handles a request,
+# such as a new configuration or a lost keeper.
+CONTEXT_EVENTS = frozenset(
     (
         'configuration',
         'keepers',
@@ -29,14 +31,14 @@
 MS_PER_SECOND = 1000
 
 
-class Line(NamedTuple):
-    """One log line.
+class LogLine(NamedTuple):
+    """One parsed log line.
 
     Attributes:
-        source: what stood before the JSON, such as a host's name.
-        time: of the process that wrote it.
-        event: what happened.
-        fields: everything else.
+        source: the text before the JSON, such as a host's name.
+        time: when it was logged, by the clock of the process that logged it.
+        event: name of the event.
+        fields: all other fields but those in EXCLUDED_FIELDS.
     """
 
     source: str
@@ -47,63 +49,80 @@
 
 def add_parser(subparsers: Any) -> None:
     """Add the subcommand."""
-    explain: argparse.ArgumentParser = subparsers.add_parser(
+    parser: argparse.ArgumentParser = subparsers.add_parser(
         'explain',
-        help="put one request's log lines in order",
+        help="print one request's log lines in order of time",
         description=(
             'Reads log lines of one or several processes from standard input '
-            'and writes those of one request in the order of their time, with '
-            'the time since its first line. What processes came to believe in '
-            'between is shown indented.'
+            'and prints those of one request in order of time, each with the '
+            'time since the first. Between them, indented, are lines about '
+            'changes in the state of the processes, such as a new configuration.'
         ),
     )
-    explain.add_argument('request', metavar='REQUEST-ID')
-    explain.set_defaults(run=run_explain)
+    parser.add_argument('request', metavar='REQUEST-ID')
+    parser.set_defaults(run=run_explain)
 
 
 def run_explain(options: argparse.Namespace) -> int:
-    """Explain one request.
+    """Print the log lines of one request and of state changes meanwhile.
 
     Raises:
-        UserError: no line tells of it.
+        UserError: there is no log line of the request.
     """
     lines = sorted(read_lines(sys.stdin), key=lambda line: line.time)
-    own = [line for line in lines if line.fields.get('request') == options.request]
-    if not own:
-        raise UserError(f'no line tells of request {options.request!r}')
-    for line in between(lines, own):
-        sys.stdout.write(f'{describe(line, own)}\n')
+    request_lines = [
+        line for line in lines if line.fields.get('request') == options.request
+    ]
+    if not request_lines:
+        raise UserError(
+            f'standard input has no log line of request {options.request!r}'
+        )
+    for line in select_lines(lines, request_lines):
+        sys.stdout.write(f'{format_line(line, request_lines)}\n')
     return 0
 
 
-def read_lines(source: Iterable[str]) -> Iterator[Line]:
-    """Read what is JSON in each line; other lines are passed over."""
+def read_lines(source: Iterable[str]) -> Iterator[LogLine]:
+    """Parse the JSON in each line; skip lines without JSON or a valid time."""
     for text in source:
-        before, brace, rest = text.partition('{')
+        prefix, brace, rest = text.partition('{')
         try:
             fields = json.loads(brace + rest)
             time = datetime.fromisoformat(fields['time'])
         except (ValueError, KeyError, TypeError):
             continue
-        left = {name: fields[name] for name in fields if name not in SHOWN_APART}
-        yield Line(before.strip(), time, fields.get('event', ''), left)
+        other_fields = {
+            name: fields[name] for name in fields if name not in EXCLUDED_FIELDS
+        }
+        yield LogLine(prefix.strip(), time, fields.get('event', ''), other_fields)
 
 
-def between(lines: list[Line], own: list[Line]) -> Iterator[Line]:
-    """Give the request's lines and the beliefs that changed meanwhile."""
-    first = own[0].time
-    last = own[-1].time
+def select_lines(
+    lines: list[LogLine], request_lines: list[LogLine]
+) -> Iterator[LogLine]:
+    """Yield the request's lines and the context events during the request.
+
+    Args:
+        lines: all lines, in order of time.
+        request_lines: the lines of the request among them.
+    """
+    first = request_lines[0].time
+    last = request_lines[-1].time
     for line in lines:
-        meanwhile = first <= line.time <= last and line.event in BELIEFS
-        if line in own or meanwhile:
+        is_context = first <= line.time <= last and line.event in CONTEXT_EVENTS
+        if line in request_lines or is_context:
             yield line
 
 
-def describe(line: Line, own: list[Line]) -> str:
-    """Write one line."""
-    since = (line.time - own[0].time).total_seconds() * MS_PER_SECOND
-    indent = '' if line in own else '    '
+def format_line(line: LogLine, request_lines: list[LogLine]) -> str:
+    """Format a line with its time since the first line of the request, in ms."""
+    elapsed_ms = (line.time - request_lines[0].time).total_seconds() * MS_PER_SECOND
+    indent = '' if line in request_lines else '    '
     fields = ' '.join(
-        f'{name}={shown}' for name, shown in line.fields.items() if name != 'request'
+        f'{name}={field_value}'
+        for name, field_value in line.fields.items()
+        if name != 'request'
+    )
+    return (
+        f'{elapsed_ms:9.1f} ms  {indent}{line.source}  {line.event}  {fields}'.rstrip()
     )
-    return f'{since:9.1f} ms  {indent}{line.source}  {line.event}  {fields}'.rstrip()
