--- a/test/process/test_gateway.py
+++ b/test/process/test_gateway.py
@@ -17,7 +17,7 @@
 LEAVE_NOTICE_MS = 2000
 
 
-class PartlyLostStore(MemoryStore):
+class PartlyUnavailableStore(MemoryStore):
     """A store that fails the watches of one kind, and keeps each wait."""
 
     lost = ''
@@ -37,11 +37,11 @@
 class GatewayTest(testtools.TestCase):
     """One gateway in virtual time, without keepers and hosts."""
 
-    async def gateway(self, lost: str = '') -> Gateway:
+    async def start_gateway(self, lost: str = '') -> Gateway:
         """Start a gateway and let some seconds pass."""
         node = Node('gateway', Place('a', 'east'))
         clock = NodeClock(node)
-        store = PartlyLostStore(clock)
+        store = PartlyUnavailableStore(clock)
         store.waits: dict[str, int] = {}
         store.lost = lost
         settings = GatewaySettings(
@@ -60,27 +60,27 @@
         return gateway
 
     @virtual
-    async def test_any_watch_that_fails_makes_entries_doubtful(self) -> None:
+    async def test_any_failed_watch_makes_deletions_doubtful(self) -> None:
         for kind in (CONFIGURATION_PREFIX, HOSTS_PREFIX):
-            gateway = await self.gateway(kind)
+            gateway = await self.start_gateway(kind)
             self.assertTrue(gateway.host_table.registrations_may_have_lapsed(), kind)
             await gateway.stop()
 
     @virtual
-    async def test_entries_go_at_once_while_all_watches_work(self) -> None:
-        gateway = await self.gateway()
+    async def test_deletions_are_trusted_while_watches_work(self) -> None:
+        gateway = await self.start_gateway()
         self.assertFalse(gateway.host_table.registrations_may_have_lapsed())
         await gateway.stop()
 
     @virtual
-    async def test_watches_end_before_what_depends_on_them(self) -> None:
-        gateway = await self.gateway()
+    async def test_watches_end_within_the_configured_delays(self) -> None:
+        gateway = await self.start_gateway()
         self.assertTrue(self.waits[CONFIGURATION_PREFIX] <= CHANGE_DELAY_MS / 2)
         self.assertTrue(self.waits[HOSTS_PREFIX] <= LEAVE_NOTICE_MS * 2 / 3)
         await gateway.stop()
 
     @virtual
     async def test_not_ready_without_a_configuration(self) -> None:
-        gateway = await self.gateway()
+        gateway = await self.start_gateway()
         self.assertFalse(gateway.ready)
         await gateway.stop()
--- a/test/process/test_host_table.py
+++ b/test/process/test_host_table.py
@@ -54,13 +54,13 @@
         self.assertEqual(['i-2'], self.available(table))
 
     @virtual
-    async def test_gone_at_once_while_the_store_is_well(self) -> None:
+    async def test_deleted_host_is_removed_at_once(self) -> None:
         table = self.make_table(make_clock())
         table.apply_change(deletion('i-1', 3))
         self.assertEqual(['i-2'], self.available(table))
 
     @virtual
-    async def test_an_entry_that_lapsed_is_kept_for_a_while(self) -> None:
+    async def test_lapsed_registration_is_kept_for_a_while(self) -> None:
         clock = make_clock()
         table = self.make_table(clock)
         table.store_failed()
@@ -74,7 +74,7 @@
         self.assertEqual(['i-2'], self.available(table))
 
     @virtual
-    async def test_an_entry_that_goes_while_the_store_is_lost(self) -> None:
+    async def test_host_is_kept_while_the_store_is_down(self) -> None:
         """Another process may have told of it."""
         table = self.make_table(make_clock())
         table.store_failed()
@@ -82,7 +82,7 @@
         self.assertEqual(['i-1', 'i-2'], self.available(table))
 
     @virtual
-    async def test_the_store_settles(self) -> None:
+    async def test_deletions_are_trusted_after_a_recovery(self) -> None:
         clock = make_clock()
         table = self.make_table(clock)
         table.store_failed()
@@ -92,21 +92,21 @@
         self.assertEqual(['i-2'], self.available(table))
 
     @virtual
-    async def test_an_unreadable_entry_changes_nothing(self) -> None:
+    async def test_unreadable_registration_changes_nothing(self) -> None:
         table = self.make_table(make_clock())
         table.apply_change(StoredObject('servers/i-1', b'nonsense', 3))
         table.apply_change(registration('i-3', 4, slots='eight'))
         self.assertEqual(['i-1', 'i-2'], self.available(table))
 
     @virtual
-    async def test_a_new_start_under_the_same_id_knows_nothing(self) -> None:
+    async def test_restarted_host_loses_its_failures(self) -> None:
         table = self.make_table(make_clock())
         table.states['i-1'].record_failure(0)
         table.apply_change(registration('i-1', 3, born=7))
         self.assertEqual(0, table.states['i-1'].failures)
 
     @virtual
-    async def test_suspicion_grows_and_ends(self) -> None:
+    async def test_suspicion_is_bounded_and_can_be_cleared(self) -> None:
         clock = make_clock()
         state = self.make_table(clock).states['i-1']
         for _ in range(20):
@@ -119,7 +119,7 @@
         self.assertEqual(0, state.suspected_until_ms)
 
     @virtual
-    async def test_a_host_that_fails_for_hours(self) -> None:
+    async def test_suspicion_after_thousands_of_failures(self) -> None:
         clock = make_clock()
         state = self.make_table(clock).states['i-1']
         for _ in range(5000):
--- a/test/process/test_keepers.py
+++ b/test/process/test_keepers.py
@@ -42,7 +42,7 @@
         self.statuses[key] = status
 
 
-class World:
+class KeeperCluster:
     """A store, keepers and gateways with paths that can be cut."""
 
     def __init__(self) -> None:
@@ -55,7 +55,7 @@
         self.nodes: dict[str, Node] = {}
         self.keepers: dict[str, Keeper] = {}
 
-    async def keeper(self, name: str, first_start: bool = False) -> Keeper:
+    async def start_keeper(self, name: str, first_start: bool = False) -> Keeper:
         """Start a keeper on the disk of its name."""
         node = Node(name, Place(name, REGIONS[name]))
         clock = NodeClock(node)
@@ -74,10 +74,10 @@
         self.keepers[name] = keeper
         return keeper
 
-    async def three(self) -> None:
+    async def start_three(self) -> None:
         """Start three keepers with empty disks."""
         for name in 'abc':
-            await self.keeper(name, True)
+            await self.start_keeper(name, True)
         await self.wait(1000)
 
     async def kill(self, name: str) -> None:
@@ -92,7 +92,7 @@
         """Let time pass."""
         await self.clock.sleep_ms(duration_ms)
 
-    def group(self, name: str = 'gateway', zone: str = 'a') -> KeeperGroup:
+    def start_group(self, name: str = 'gateway', zone: str = 'a') -> KeeperGroup:
         """Start the keepers' side of a gateway."""
         node = Node(name, Place(zone, REGIONS[zone]))
         clock = NodeClock(node)
@@ -104,14 +104,14 @@
         tasks.spawn(follower.run(), 'follow')
         return KeeperGroup(links, clock, tasks, 1)
 
-    async def three_and_group(self, zone: str = 'a') -> KeeperGroup:
+    async def start_three_with_group(self, zone: str = 'a') -> KeeperGroup:
         """Start three keepers and a gateway that has found them."""
-        await self.three()
-        group = self.group('gateway', zone)
+        await self.start_three()
+        group = self.start_group('gateway', zone)
         await self.wait(500)
         return group
 
-    def replicas(self, turn: str) -> set[str]:
+    def keepers_with(self, turn: str) -> set[str]:
         """Name the keepers on whose disks a turn is."""
         return {
             name
@@ -120,71 +120,71 @@
         }
 
 
-def record(turn: str, previous: str = '') -> TurnRecord:
+def make_record(turn: str, previous: str = '') -> TurnRecord:
     """Make a turn."""
     text = turn.encode()
     return TurnRecord(turn, 'p', previous, text, text, 5, RETENTION_MS, [])
 
 
-async def forget(group: KeeperGroup) -> None:
+async def clear_cache(group: KeeperGroup) -> None:
     """Make a gateway forget what it remembers."""
     for turn in list(group.cache.records):
         group.cache.remove(turn)
 
 
-class CopiesTest(testtools.TestCase):
+class ReplicationTest(testtools.TestCase):
     """A turn counts once enough disks have it."""
 
     @virtual
-    async def test_two_near_disks(self) -> None:
-        world = World()
-        group = await world.three_and_group()
-        before_ms = world.clock.now_ms()
-        await group.store_turn(record('t1'))
-        self.assertTrue(world.clock.now_ms() - before_ms < 10)
-        self.assertEqual({'a', 'b'}, world.replicas('t1'))
+    async def test_turn_is_stored_on_two_near_disks(self) -> None:
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
+        before_ms = cluster.clock.now_ms()
+        await group.store_turn(make_record('t1'))
+        self.assertTrue(cluster.clock.now_ms() - before_ms < 10)
+        self.assertEqual({'a', 'b'}, cluster.keepers_with('t1'))
 
     @virtual
-    async def test_a_dead_keeper_is_passed_over(self) -> None:
-        world = World()
-        group = await world.three_and_group()
-        await world.kill('b')
-        await group.store_turn(record('t1'))
-        self.assertEqual({'a', 'c'}, world.replicas('t1'))
+    async def test_dead_keeper_is_replaced_by_another(self) -> None:
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
+        await cluster.kill('b')
+        await group.store_turn(make_record('t1'))
+        self.assertEqual({'a', 'c'}, cluster.keepers_with('t1'))
 
     @virtual
-    async def test_a_silent_keeper_is_passed_over(self) -> None:
-        world = World()
-        group = await world.three_and_group()
-        await group.store_turn(record('t0'))
-        world.fabric.cut('gateway', 'b')
-        before_ms = world.clock.now_ms()
-        await group.store_turn(record('t1'))
-        took_ms = world.clock.now_ms() - before_ms
+    async def test_unresponsive_keeper_is_replaced_by_another(self) -> None:
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
+        await group.store_turn(make_record('t0'))
+        cluster.fabric.cut('gateway', 'b')
+        before_ms = cluster.clock.now_ms()
+        await group.store_turn(make_record('t1'))
+        took_ms = cluster.clock.now_ms() - before_ms
         self.assertTrue(took_ms < NEAR_HEDGE_MS + 2 * ROUND_TRIP_MS + SLACK_MS)
-        self.assertEqual({'a', 'c'}, world.replicas('t1'))
+        self.assertEqual({'a', 'c'}, cluster.keepers_with('t1'))
 
     @virtual
-    async def test_too_few_keepers(self) -> None:
-        world = World()
-        group = await world.three_and_group()
-        await world.kill('b')
-        await world.kill('c')
+    async def test_turn_is_refused_with_too_few_keepers(self) -> None:
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
+        await cluster.kill('b')
+        await cluster.kill('c')
         with testtools.ExpectedException(Refusal):
-            await group.store_turn(record('t1'))
+            await group.store_turn(make_record('t1'))
 
     @virtual
-    async def test_a_lost_keeper_is_regained(self) -> None:
-        world = World()
-        group = await world.three_and_group()
-        await world.kill('b')
-        await world.kill('c')
+    async def test_lost_keeper_is_used_again(self) -> None:
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
+        await cluster.kill('b')
+        await cluster.kill('c')
         with testtools.ExpectedException(Refusal):
-            await group.store_turn(record('t1'))
+            await group.store_turn(make_record('t1'))
         self.assertTrue(group.links.without_majority_ms >= 0)
-        await world.keeper('b')
-        await world.wait(1500)
-        await group.store_turn(record('t2'))
+        await cluster.start_keeper('b')
+        await cluster.wait(1500)
+        await group.store_turn(make_record('t2'))
         self.assertEqual(0, group.links.without_majority_ms)
 
 
@@ -193,39 +193,39 @@
 
     @virtual
     async def test_another_gateway_finds_the_chain(self) -> None:
-        world = World()
-        await world.three()
-        first = world.group()
-        second = world.group('other', 'c')
-        await world.wait(500)
-        await first.store_turn(record('t1'))
-        await first.store_turn(record('t2', 't1'))
-        await second.store_turn(record('t3', 't2'))
+        cluster = KeeperCluster()
+        await cluster.start_three()
+        first = cluster.start_group()
+        second = cluster.start_group('other', 'c')
+        await cluster.wait(500)
+        await first.store_turn(make_record('t1'))
+        await first.store_turn(make_record('t2', 't1'))
+        await second.store_turn(make_record('t3', 't2'))
         chain = await second.load_chain('t3')
         self.assertEqual(['t1', 't2', 't3'], [one.turn for one in chain])
 
     @virtual
-    async def test_after_all_were_killed(self) -> None:
-        world = World()
-        group = await world.three_and_group()
-        await group.store_turn(record('t1'))
-        await forget(group)
+    async def test_chain_survives_a_restart_of_all_keepers(self) -> None:
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
+        await group.store_turn(make_record('t1'))
+        await clear_cache(group)
         for name in 'abc':
-            await world.kill(name)
+            await cluster.kill(name)
         for name in 'abc':
-            await world.keeper(name)
-        await world.wait(2000)
+            await cluster.start_keeper(name)
+        await cluster.wait(2000)
         chain = await group.load_chain('t1')
         self.assertEqual(['t1'], [one.turn for one in chain])
 
     @virtual
-    async def test_unknown_only_with_certainty(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+    async def test_unknown_only_if_enough_keepers_confirm(self) -> None:
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         codes = []
         for victim in ('none', 'c', 'b'):
             if victim != 'none':
-                await world.kill(victim)
+                await cluster.kill(victim)
             try:
                 await group.load_chain('never')
             except Refusal as refusal:
@@ -240,17 +240,17 @@
         )
 
     @virtual
-    async def test_an_empty_disk_never_says_no(self) -> None:
-        world = World()
-        group = await world.three_and_group('c')
-        await group.store_turn(record('t1'))
-        await forget(group)
-        self.assertEqual({'c', 'a'}, world.replicas('t1'))
+    async def test_keeper_with_empty_disk_does_not_deny_turns(self) -> None:
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group('c')
+        await group.store_turn(make_record('t1'))
+        await clear_cache(group)
+        self.assertEqual({'c', 'a'}, cluster.keepers_with('t1'))
         for name in 'ac':
-            await world.kill(name)
-        world.disks['a'].wipe()
-        await world.keeper('a')
-        await world.wait(500)
+            await cluster.kill(name)
+        cluster.disks['a'].wipe()
+        await cluster.start_keeper('a')
+        await cluster.wait(500)
         error = None
         try:
             await group.load_chain('t1')
@@ -260,99 +260,99 @@
         self.assertEqual(RefusalCode.KEEPERS_UNAVAILABLE, error.code)
 
 
-class DisksTest(testtools.TestCase):
+class MembershipTest(testtools.TestCase):
     """Lost disks and hosts that leave."""
 
     @virtual
-    async def test_a_wiped_disk_is_filled_again(self) -> None:
-        world = World()
-        group = await world.three_and_group()
-        await group.store_turn(record('t1'))
-        await forget(group)
-        await world.kill('a')
-        world.disks['a'].wipe()
-        keeper = await world.keeper('a')
-        await world.wait(2000)
+    async def test_wiped_disk_is_restored(self) -> None:
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
+        await group.store_turn(make_record('t1'))
+        await clear_cache(group)
+        await cluster.kill('a')
+        cluster.disks['a'].wipe()
+        keeper = await cluster.start_keeper('a')
+        await cluster.wait(2000)
         self.assertTrue(keeper.state.complete)
-        self.assertEqual({'a', 'b'}, world.replicas('t1'))
-        await world.kill('b')
+        self.assertEqual({'a', 'b'}, cluster.keepers_with('t1'))
+        await cluster.kill('b')
         chain = await group.load_chain('t1')
         self.assertEqual(['t1'], [one.turn for one in chain])
 
     @virtual
-    async def test_a_new_keeper_replaces_one_that_is_gone(self) -> None:
-        world = World()
-        group = await world.three_and_group()
-        await group.store_turn(record('t1'))
-        await world.kill('a')
-        await world.keeper('d')
-        await world.wait(6000)
+    async def test_new_keeper_replaces_a_dead_one(self) -> None:
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
+        await group.store_turn(make_record('t1'))
+        await cluster.kill('a')
+        await cluster.start_keeper('d')
+        await cluster.wait(6000)
         self.assertEqual({'b', 'c', 'd'}, set(group.links.members.by_name))
-        self.assertEqual({'a', 'b', 'd'}, world.replicas('t1'))
+        self.assertEqual({'a', 'b', 'd'}, cluster.keepers_with('t1'))
 
     @virtual
-    async def test_one_that_was_only_cut_off_comes_back(self) -> None:
-        world = World()
-        await world.three()
-        world.fabric.cut('d', 'a')
-        world.fabric.cut('a', 'd')
-        await world.keeper('d')
-        await world.wait(6000)
-        world.fabric.heal()
-        await world.wait(1000)
-        listed = {key.partition('/')[2] for key in world.store.objects}
+    async def test_removed_keeper_registers_again(self) -> None:
+        cluster = KeeperCluster()
+        await cluster.start_three()
+        cluster.fabric.cut('d', 'a')
+        cluster.fabric.cut('a', 'd')
+        await cluster.start_keeper('d')
+        await cluster.wait(6000)
+        cluster.fabric.heal()
+        await cluster.wait(1000)
+        listed = {key.partition('/')[2] for key in cluster.store.objects}
         self.assertEqual({'a', 'b', 'c', 'd'}, listed)
 
     @virtual
-    async def test_a_retired_keeper_is_not_needed(self) -> None:
-        world = World()
-        group = await world.three_and_group()
-        await group.store_turn(record('t1'))
-        await forget(group)
-        await world.store.put('retirements/a', b'{"duration_s": 8}', None)
-        await world.wait(4000)
-        self.assertEqual('completed', world.store.statuses['retirements/a']['state'])
+    async def test_retired_keeper_is_not_needed(self) -> None:
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
+        await group.store_turn(make_record('t1'))
+        await clear_cache(group)
+        await cluster.store.put('retirements/a', b'{"duration_s": 8}', None)
+        await cluster.wait(4000)
+        self.assertEqual('completed', cluster.store.statuses['retirements/a']['state'])
         self.assertEqual({'b', 'c'}, set(group.links.members.by_name))
-        await world.kill('a')
-        await world.kill('b')
-        world.disks['b'].wipe()
+        await cluster.kill('a')
+        await cluster.kill('b')
+        cluster.disks['b'].wipe()
         chain = await group.load_chain('t1')
         self.assertEqual(['t1'], [one.turn for one in chain])
 
     @virtual
-    async def test_a_retiring_keeper_takes_no_turns(self) -> None:
-        world = World()
-        group = await world.three_and_group()
-        world.keepers['a'].own_member = world.keepers['a'].own_member._replace(
+    async def test_retiring_keeper_accepts_no_turns(self) -> None:
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
+        cluster.keepers['a'].own_member = cluster.keepers['a'].own_member._replace(
             retiring=True
         )
-        await group.store_turn(record('t1'))
-        self.assertEqual({'b', 'c'}, world.replicas('t1'))
+        await group.store_turn(make_record('t1'))
+        self.assertEqual({'b', 'c'}, cluster.keepers_with('t1'))
         self.assertEqual(0, group.links.without_majority_ms)
 
     @virtual
-    async def test_retirement_while_the_store_is_away(self) -> None:
-        world = World()
-        await world.three()
-        await world.store.put('retirements/a', b'{"duration_s": 8}', None)
-        await world.wait(100)
-        world.store.faults = Faults(fail_writes=5)
-        await world.wait(8000)
-        self.assertEqual('completed', world.store.statuses['retirements/a']['state'])
+    async def test_retirement_despite_failed_store_writes(self) -> None:
+        cluster = KeeperCluster()
+        await cluster.start_three()
+        await cluster.store.put('retirements/a', b'{"duration_s": 8}', None)
+        await cluster.wait(100)
+        cluster.store.faults = Faults(fail_writes=5)
+        await cluster.wait(8000)
+        self.assertEqual('completed', cluster.store.statuses['retirements/a']['state'])
 
     @virtual
-    async def test_what_is_over_leaves_the_disk(self) -> None:
-        world = World()
-        await world.three()
-        keeper = world.keepers['a']
+    async def test_compaction_removes_expired_turns(self) -> None:
+        cluster = KeeperCluster()
+        await cluster.start_three()
+        keeper = cluster.keepers['a']
         for number in range(20):
-            await keeper.state.store_record(record(f't{number}'))
-        await world.wait(RETENTION_MS * 3)
-        await keeper.state.store_record(record('young'))
-        world.disks['a'].bytes_since_compaction = 1_000_000_000
+            await keeper.state.store_record(make_record(f't{number}'))
+        await cluster.wait(RETENTION_MS * 3)
+        await keeper.state.store_record(make_record('young'))
+        cluster.disks['a'].bytes_since_compaction = 1_000_000_000
         await keeper.state.compact()
         self.assertEqual(1, len(keeper.state.turns.records))
-        left = [one for one in world.disks['a'].records if b't1' in one]
+        left = [one for one in cluster.disks['a'].records if b't1' in one]
         self.assertEqual([], left)
 
 
@@ -363,40 +363,40 @@
     async def test_any_two_majorities_share_a_keeper(self) -> None:
         rng = random.Random(5)
         for _ in range(20):
-            world = World()
-            await world.three()
-            group = world.group()
-            await world.wait(500)
+            cluster = KeeperCluster()
+            await cluster.start_three()
+            group = cluster.start_group()
+            await cluster.wait(500)
             victims = rng.sample('abc', 2)
-            world.fabric.cut('gateway', victims[0])
+            cluster.fabric.cut('gateway', victims[0])
             await self.reserve(group, 't1')
-            world.fabric.heal()
-            await world.wait(9000)
-            world.fabric.cut('gateway', victims[1])
+            cluster.fabric.heal()
+            await cluster.wait(9000)
+            cluster.fabric.cut('gateway', victims[1])
             known = await self.reserve(group, 't2')
             self.assertIn('t1', known)
             await group.tasks.cancel()
 
     @virtual
     async def test_settled_tokens_survive_a_restart(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         await self.reserve(group, 't1')
         group.settle(SettleTokens('p', 't1', 7, RETENTION_MS))
-        await world.wait(500)
-        await world.kill('a')
-        keeper = await world.keeper('a')
+        await cluster.wait(500)
+        await cluster.kill('a')
+        keeper = await cluster.start_keeper('a')
         entry = keeper.state.ledger.accounts['p'].entries['t1']
         self.assertEqual((7, True), (entry.tokens, entry.settled))
 
     async def reserve(self, group: KeeperGroup, turn: str) -> set[str]:
         """Reserve at a majority; gives the turns that it knows."""
         known: set[str] = set()
-        voices = 0
+        answers = 0
         message = ReserveTokens('p', turn, 10, RETENTION_MS)
         async for spent in group.ask_all(message):
-            voices += 1
+            answers += 1
             known |= {entry.turn for entry in spent.entries}
-            if voices >= group.links.majority:
+            if answers >= group.links.majority:
                 return known
         raise AssertionError('no majority')
--- a/test/process/test_limits.py
+++ b/test/process/test_limits.py
@@ -25,7 +25,7 @@
     """Writes within a share of the fleet's budget."""
 
     @virtual
-    async def test_keeps_to_its_share(self) -> None:
+    async def test_rate_is_the_share_of_one_process(self) -> None:
         clock = make_clock()
         pace = Pace(clock, 200, lambda: 4)
         for _ in range(150):
@@ -36,7 +36,7 @@
         self.assertAlmostEqual(2000, clock.now_ms() - begun_ms, delta=30)
 
     @virtual
-    async def test_saves_for_a_burst(self) -> None:
+    async def test_saved_turns_allow_a_burst(self) -> None:
         clock = make_clock()
         pace = Pace(clock, 200, lambda: 4)
         await clock.sleep_ms(60_000)
@@ -46,7 +46,7 @@
         self.assertEqual(begun_ms, clock.now_ms())
 
     @virtual
-    async def test_gives_way_and_comes_back(self) -> None:
+    async def test_rate_falls_on_refusals_and_recovers(self) -> None:
         pace = Pace(make_clock(), 200, lambda: 4)
         for _ in range(20):
             pace.refused()
@@ -61,12 +61,12 @@
 class RetryTest(testtools.TestCase):
     """Retries that successes have earned."""
 
-    def test_an_outage_ends_retries(self) -> None:
+    def test_retries_end_without_successes(self) -> None:
         budget = RetryBudget()
         allowed = sum(budget.spend() for _ in range(1000))
         self.assertEqual(MAX_SAVED_RETRIES, allowed)
 
-    def test_successes_earn_a_fifth(self) -> None:
+    def test_one_retry_for_five_successes(self) -> None:
         budget = RetryBudget()
         sum(budget.spend() for _ in range(100))
         for _ in range(20):
@@ -84,7 +84,7 @@
 class SubsetsTest(testtools.TestCase):
     """Which entries a sidecar reports to."""
 
-    async def make(self, count: int) -> Directory:
+    async def make_directory(self, count: int) -> Directory:
         """Make a directory of entries in one region, and one in another."""
         directory = Directory(MemoryStore(make_clock()), make_clock())
         for number in range(count):
@@ -109,25 +109,25 @@
         )
 
     @virtual
-    async def test_few_entries_hear_everybody(self) -> None:
-        subsets = Subsets(await self.make(5), REGIONS)
+    async def test_few_entries_get_all_reports(self) -> None:
+        subsets = Subsets(await self.make_directory(5), REGIONS)
         self.assertEqual(5, len(subsets.entries(self.report(1), 10).addresses))
 
     @virtual
-    async def test_many_entries_share_the_sidecars(self) -> None:
-        subsets = Subsets(await self.make(40), REGIONS)
-        heard: dict[str, int] = {}
+    async def test_reports_are_spread_over_many_entries(self) -> None:
+        subsets = Subsets(await self.make_directory(40), REGIONS)
+        reports_by_entry: dict[str, int] = {}
         for number in range(1000):
             chosen = subsets.entries(self.report(number), 100).addresses
             self.assertEqual(TARGETS, len(chosen))
             for address in chosen:
-                heard[address] = heard.get(address, 0) + 1
-        self.assertLess(max(heard.values()), 150)
-        self.assertGreater(min(heard.values()), 60)
+                reports_by_entry[address] = reports_by_entry.get(address, 0) + 1
+        self.assertLess(max(reports_by_entry.values()), 150)
+        self.assertGreater(min(reports_by_entry.values()), 60)
 
     @virtual
-    async def test_little_changes_when_an_entry_goes(self) -> None:
-        directory = await self.make(40)
+    async def test_other_targets_stay_when_an_entry_goes(self) -> None:
+        directory = await self.make_directory(40)
         subsets = Subsets(directory, REGIONS)
         before = {
             number: set(subsets.entries(self.report(number), 100).addresses)
@@ -140,7 +140,7 @@
             after = set(subsets.entries(self.report(number), 100).addresses)
             self.assertEqual(addresses - {'e7:1'}, addresses & after)
 
-    def test_interval_bounds_what_an_entry_hears(self) -> None:
+    def test_interval_grows_with_the_number_of_hosts(self) -> None:
         for hosts, expected in (
             (1, 1000),
             (13, 1000),
--- a/test/process/test_prefix_watcher.py
+++ b/test/process/test_prefix_watcher.py
@@ -21,7 +21,7 @@
         self.watches = 0
 
     stalled = False
-    forgetful = False
+    history_gone = False
 
     async def watch(
         self,
@@ -30,7 +30,7 @@
         wait_ms: int = WATCH_TIMEOUT_MS,
     ) -> Changes:
         """Wait without an answer; short watches are not stalled."""
-        if self.forgetful and revision < self.revision:
+        if self.history_gone and revision < self.revision:
             raise StoreHistoryGone('compacted')
         self.watches += 1
         if self.stalled and wait_ms > 1000:
@@ -39,68 +39,68 @@
         return await super().watch(prefix, revision, wait_ms)
 
 
-class FollowingTest(testtools.TestCase):
+class PrefixWatcherTest(testtools.TestCase):
     """What a follower hands over."""
 
-    def follower(self, store: MemoryStore, **options: object) -> PrefixWatcher:
+    def watcher(self, store: MemoryStore, **options: object) -> PrefixWatcher:
         """Follow `a/` and remember what is there."""
-        self.seen: dict[str, bytes] = {}
-        handlers = WatchHandlers(self.take, relay=self.relay)
+        self.objects: dict[str, bytes] = {}
+        handlers = WatchHandlers(self.on_object, relay=self.relay)
         return PrefixWatcher(store, store.clock, 'a/', handlers, **options)
 
-    def take(self, stored: StoredObject) -> None:
+    def on_object(self, stored: StoredObject) -> None:
         """Remember an object, or forget it."""
         if stored.body:
-            self.seen[stored.key] = stored.body
+            self.objects[stored.key] = stored.body
         else:
-            self.seen.pop(stored.key, None)
+            self.objects.pop(stored.key, None)
 
     async def relay(self, prefix: str) -> Changes | None:
         """Know one object that the store doesn't tell of."""
         return Changes(99, [StoredObject('a/relayed', b'r', 99)])
 
     @virtual
-    async def test_a_change_missed_by_a_stalled_watch(self) -> None:
+    async def test_change_missed_by_a_stalled_watch(self) -> None:
         store = StalledStore(make_clock())
         store.stalled = True
-        running = asyncio.ensure_future(self.follower(store, wait_ms=1500).run())
+        watching = asyncio.ensure_future(self.watcher(store, wait_ms=1500).run())
         await store.clock.sleep_ms(100)
         await store.put('a/x', b'1', None)
         store.stalled = False
         await store.clock.sleep_ms(1300)
-        self.assertEqual({}, self.seen)
+        self.assertEqual({}, self.objects)
         await store.clock.sleep_ms(300)
-        self.assertEqual({'a/x': b'1'}, self.seen)
-        running.cancel()
+        self.assertEqual({'a/x': b'1'}, self.objects)
+        watching.cancel()
 
     @virtual
-    async def test_a_quiet_store_is_asked_seldom(self) -> None:
+    async def test_watches_of_an_idle_store_last_long(self) -> None:
         store = StalledStore(make_clock())
-        running = asyncio.ensure_future(self.follower(store, wait_ms=2000).run())
+        watching = asyncio.ensure_future(self.watcher(store, wait_ms=2000).run())
         await store.clock.sleep_ms(10_000)
         self.assertTrue(5 <= store.watches <= 6, store.watches)
-        running.cancel()
+        watching.cancel()
 
     @virtual
-    async def test_deletions_while_history_was_lost(self) -> None:
+    async def test_deletion_while_the_history_is_gone(self) -> None:
         store = StalledStore(make_clock())
         await store.put('a/x', b'1', None)
         await store.put('a/y', b'1', None)
-        running = asyncio.ensure_future(self.follower(store, wait_ms=1000).run())
+        watching = asyncio.ensure_future(self.watcher(store, wait_ms=1000).run())
         await store.clock.sleep_ms(100)
-        store.forgetful = True
+        store.history_gone = True
         await store.delete('a/x')
         await store.clock.sleep_ms(1500)
-        self.assertEqual({'a/y': b'1'}, self.seen)
-        running.cancel()
+        self.assertEqual({'a/y': b'1'}, self.objects)
+        watching.cancel()
 
     @virtual
-    async def test_turned_away(self) -> None:
+    async def test_relay_is_used_while_the_store_is_down(self) -> None:
         store = StalledStore(make_clock())
         await store.put('a/x', b'1', None)
-        running = asyncio.ensure_future(self.follower(store, wait_ms=1000).run())
+        watching = asyncio.ensure_future(self.watcher(store, wait_ms=1000).run())
         await store.clock.sleep_ms(100)
         store.faults = Faults(down=True)
         await store.clock.sleep_ms(2000)
-        self.assertEqual({'a/relayed': b'r'}, self.seen)
-        running.cancel()
+        self.assertEqual({'a/relayed': b'r'}, self.objects)
+        watching.cancel()
--- a/test/process/test_record_log.py
+++ b/test/process/test_record_log.py
@@ -16,9 +16,9 @@
     def setUp(self) -> None:
         """Make a folder."""
         super().setUp()
-        made = tempfile.TemporaryDirectory()
-        self.addCleanup(made.cleanup)
-        self.folder = Path(made.name) / 'keeper'
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.folder = Path(directory.name) / 'keeper'
 
     async def write(self, *records: bytes) -> RecordLog:
         """Open the log and append."""
@@ -32,29 +32,29 @@
     def read(self) -> list[bytes]:
         """Read what is there."""
         log = RecordLog(self.folder)
-        found = list(log.open())
+        records = list(log.open())
         log.close()
-        return found
+        return records
 
     @on_loop
-    async def test_what_was_synced_is_read_again(self) -> None:
+    async def test_synced_records_are_read_again(self) -> None:
         (await self.write(b'one', b'two')).close()
         (await self.write(b'three')).close()
         self.assertEqual([b'one', b'two', b'three'], self.read())
 
     @on_loop
-    async def test_torn_ends(self) -> None:
+    async def test_torn_segment_ends_before_the_torn_record(self) -> None:
         log = await self.write(b'one', b'two')
         log.close()
         path = log.path(log.segment)
-        whole = path.read_bytes()
-        first = FRAME_HEADER.size + len(b'one')
-        for cut, _ in enumerate(whole):
-            expected = [b'one'] if cut >= first else []
-            self.assertEqual(expected, list(read_frames(whole[:cut])))
+        payload = path.read_bytes()
+        first_size = FRAME_HEADER.size + len(b'one')
+        for cut, _ in enumerate(payload):
+            expected = [b'one'] if cut >= first_size else []
+            self.assertEqual(expected, list(read_frames(payload[:cut])))
 
     @on_loop
-    async def test_a_torn_segment_does_not_hide_the_next(self) -> None:
+    async def test_torn_segment_does_not_hide_the_next_one(self) -> None:
         log = await self.write(b'one')
         log.close()
         with log.path(log.segment).open('ab') as target:
@@ -63,7 +63,7 @@
         self.assertEqual([b'one', b'two'], self.read())
 
     @on_loop
-    async def test_wrong_bytes_end_a_segment(self) -> None:
+    async def test_segment_ends_before_a_damaged_record(self) -> None:
         log = await self.write(b'one', b'two')
         log.close()
         path = log.path(log.segment)
@@ -71,7 +71,7 @@
         self.assertEqual([b'one'], self.read())
 
     @on_loop
-    async def test_written_anew(self) -> None:
+    async def test_compaction_deletes_older_records(self) -> None:
         log = RecordLog(self.folder)
         list(log.open())
         running = asyncio.ensure_future(log.run())
@@ -83,13 +83,13 @@
         log.close()
         self.assertEqual([b'new'], self.read())
 
-    def test_the_mark_of_completeness(self) -> None:
+    def test_completeness_survives_a_restart(self) -> None:
         log = RecordLog(self.folder)
         list(log.open())
         self.assertFalse(log.complete)
         log.mark_complete()
         log.close()
-        again = RecordLog(self.folder)
-        list(again.open())
-        again.close()
-        self.assertTrue(again.complete)
+        reopened = RecordLog(self.folder)
+        list(reopened.open())
+        reopened.close()
+        self.assertTrue(reopened.complete)
--- a/test/request/test_program_turn.py
+++ b/test/request/test_program_turn.py
@@ -16,7 +16,7 @@
 from pollenwalk.request.program_turn import ProgramTurn
 from pollenwalk.request.reservation import Reservation
 from test.helper import virtual
-from test.process.test_keepers import World, record
+from test.process.test_keepers import KeeperCluster, make_record
 from test.request.test_forwarding import STREAM
 
 KEPT = STREAM._replace(keeps_history=True)
@@ -46,8 +46,8 @@
 
     @virtual
     async def test_the_prompt_is_the_whole_chain(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         first = self.turn(group, make_call('t1', 1000))
         self.assertEqual(b't1', await first.prepare())
         for number in (1, 2):
@@ -60,8 +60,8 @@
 
     @virtual
     async def test_a_spent_budget_is_refused_before_the_run(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         first = self.turn(group, make_call('t1', 2 * MOST - 1))
         await first.prepare()
         second = self.turn(group, make_call('t2', 2 * MOST - 1))
@@ -73,108 +73,108 @@
 
     @virtual
     async def test_what_was_not_shown_is_given_back(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         first = self.turn(group, make_call('t1', 2 * MOST - 1))
         await first.prepare()
         await first.before_event(Event(b'', '1', b'out'))
         first.close()
-        await world.wait(200)
+        await cluster.wait(200)
         second = self.turn(group, make_call('t2', 2 * MOST - 1))
         await second.prepare()
         second.close()
 
     @virtual
     async def test_far_from_the_budget_one_disk_is_enough(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         turn = self.turn(group, make_call('t1', 10_000))
-        before_ms = world.clock.now_ms()
-        world.fabric.slow_ms['gateway', 'b'] = 1000
-        world.fabric.slow_ms['gateway', 'c'] = 1000
+        before_ms = cluster.clock.now_ms()
+        cluster.fabric.slow_ms['gateway', 'b'] = 1000
+        cluster.fabric.slow_ms['gateway', 'c'] = 1000
         await turn.prepare()
         await turn.before_event(Event(b'', '1', b'out'))
-        self.assertTrue(world.clock.now_ms() - before_ms < 100)
+        self.assertTrue(cluster.clock.now_ms() - before_ms < 100)
         turn.close()
 
     @virtual
     async def test_beside_another_turn_a_majority_is_asked(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         first = self.turn(group, make_call('t1', 10_000))
         await first.prepare()
-        world.fabric.slow_ms['gateway', 'b'] = 200
-        world.fabric.slow_ms['gateway', 'c'] = 200
+        cluster.fabric.slow_ms['gateway', 'b'] = 200
+        cluster.fabric.slow_ms['gateway', 'c'] = 200
         second = self.turn(group, make_call('t2', 10_000))
-        before_ms = world.clock.now_ms()
+        before_ms = cluster.clock.now_ms()
         await second.prepare()
-        self.assertTrue(world.clock.now_ms() - before_ms >= 200)
+        self.assertTrue(cluster.clock.now_ms() - before_ms >= 200)
         first.close()
         second.close()
 
     @virtual
     async def test_near_the_budget_tokens_wait_for_a_majority(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         turn = self.turn(group, make_call('t1', MOST))
-        world.fabric.slow_ms['gateway', 'b'] = 200
-        world.fabric.slow_ms['gateway', 'c'] = 200
-        before_ms = world.clock.now_ms()
+        cluster.fabric.slow_ms['gateway', 'b'] = 200
+        cluster.fabric.slow_ms['gateway', 'c'] = 200
+        before_ms = cluster.clock.now_ms()
         await turn.prepare()
         await turn.before_event(Event(b'', '1', b'out'))
-        self.assertTrue(world.clock.now_ms() - before_ms > 200)
+        self.assertTrue(cluster.clock.now_ms() - before_ms > 200)
         turn.close()
 
     @virtual
     async def test_a_lone_turn_near_its_budget_asks_once(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         turn = self.turn(group, make_call('t1', MOST))
-        world.fabric.slow_ms['gateway', 'b'] = 200
-        world.fabric.slow_ms['gateway', 'c'] = 200
-        before_ms = world.clock.now_ms()
+        cluster.fabric.slow_ms['gateway', 'b'] = 200
+        cluster.fabric.slow_ms['gateway', 'c'] = 200
+        before_ms = cluster.clock.now_ms()
         await turn.prepare()
-        took_ms = world.clock.now_ms() - before_ms
+        took_ms = cluster.clock.now_ms() - before_ms
         self.assertTrue(400 <= took_ms < 600, took_ms)
         turn.close()
 
     @virtual
     async def test_a_turn_found_beyond_its_budget_is_cut(self) -> None:
         """One keeper missed what the two others know."""
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         for number in range(5):
             spent = SettleTokens('p', f'old{number}', MOST, 1000)
             for name in ('b', 'c'):
-                await world.keepers[name].state.store_record(spent)
-        world.fabric.slow_ms['gateway', 'b'] = 200
-        world.fabric.slow_ms['gateway', 'c'] = 200
+                await cluster.keepers[name].state.store_record(spent)
+        cluster.fabric.slow_ms['gateway', 'b'] = 200
+        cluster.fabric.slow_ms['gateway', 'c'] = 200
         turn = self.turn(group, make_call('t1', 5 * MOST))
         await turn.prepare()
         await turn.before_event(Event(b'', '1', b'out'))
-        await world.wait(500)
+        await cluster.wait(500)
         with testtools.ExpectedException(Refusal):
             await turn.before_event(Event(b'', '2', b'out'))
         turn.close()
 
     @virtual
     async def test_the_end_waits_for_a_majority(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         turn = self.turn(group, make_call('t1', 10_000))
         await turn.prepare()
         turn.close()
-        await world.wait(200)
-        world.fabric.cut('gateway', 'b')
-        world.fabric.cut('gateway', 'c')
+        await cluster.wait(200)
+        cluster.fabric.cut('gateway', 'b')
+        cluster.fabric.cut('gateway', 'c')
         second = self.turn(group, make_call('t2', 10_000))
         await second.prepare()
         await second.before_event(Event(b'', '1', b'out'))
         ending = asyncio.ensure_future(second.before_end())
-        await world.wait(1500)
+        await cluster.wait(1500)
         self.assertFalse(ending.done())
-        world.fabric.heal()
-        await world.wait(1000)
+        cluster.fabric.heal()
+        await cluster.wait(1000)
         self.assertTrue(ending.done())
         await ending
         second.close()
@@ -182,18 +182,18 @@
     @virtual
     async def test_a_finished_turn_is_kept_late(self) -> None:
         """Found on a grown day: ready answers were cut after a second."""
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         turn = self.turn(group, make_call('t1', 10_000))
         await turn.prepare()
         await turn.before_event(Event(b'', '1', b'out'))
         for name in 'abc':
-            world.fabric.cut('gateway', name)
+            cluster.fabric.cut('gateway', name)
         ending = asyncio.ensure_future(turn.before_end())
-        await world.wait(1500)
+        await cluster.wait(1500)
         self.assertFalse(ending.done())
-        world.fabric.heal()
-        await world.wait(1000)
+        cluster.fabric.heal()
+        await cluster.wait(1000)
         await ending
         self.assertEqual(['t1'], [one.turn for one in await group.load_chain('t1')])
         turn.close()
@@ -201,28 +201,28 @@
     @virtual
     async def test_callers_outlast_a_restart(self) -> None:
         """Whoever comes back as told is served when a keeper is back."""
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         for name in ('b', 'c'):
-            await world.kill(name)
-        restarted = asyncio.ensure_future(self.restart(world, 'b', 2500))
+            await cluster.kill(name)
+        restarted = asyncio.ensure_future(self.restart(cluster, 'b', 2500))
         refusals = 0
-        while await self.is_refused(world, self.turn(group, make_call('t', 10_000))):
+        while await self.is_refused(cluster, self.turn(group, make_call('t', 10_000))):
             refusals += 1
         self.assertTrue(restarted.done())
         self.assertTrue(refusals <= 5, refusals)
 
-    async def restart(self, world: World, name: str, after_ms: float) -> None:
+    async def restart(self, cluster: KeeperCluster, name: str, after_ms: float) -> None:
         """Start a keeper again, later."""
-        await world.wait(after_ms)
-        await world.keeper(name)
+        await cluster.wait(after_ms)
+        await cluster.start_keeper(name)
 
-    async def is_refused(self, world: World, turn: ProgramTurn) -> bool:
+    async def is_refused(self, cluster: KeeperCluster, turn: ProgramTurn) -> bool:
         """Try a turn; after a refusal wait as long as it says."""
         try:
             await turn.prepare()
         except Refusal as refusal:
-            await world.wait(refusal.retry_after_ms or 0)
+            await cluster.wait(refusal.retry_after_ms or 0)
             return True
         finally:
             turn.close()
@@ -231,21 +231,21 @@
     @virtual
     async def test_a_keeper_listed_meanwhile_changes_nothing(self) -> None:
         """Found in an incident: the majority grew while one was awaited."""
-        world = World()
-        group = await world.three_and_group()
-        await world.kill('b')
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
+        await cluster.kill('b')
         reservation = Reservation(group, make_call('t1', 10_000), GatewayMetrics())
-        await world.wait(1)
+        await cluster.wait(1)
         members = group.links.members.by_name
         members['d'] = Member('d', 'd:1', 'd')
         await reservation.recorded
 
     @virtual
     async def test_no_majority(self) -> None:
-        world = World()
-        group = await world.three_and_group()
-        await world.kill('b')
-        await world.kill('c')
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
+        await cluster.kill('b')
+        await cluster.kill('c')
         turn = self.turn(group, make_call('t1', 1000))
         error = await self.refusal(turn)
         self.assertEqual(RefusalCode.KEEPERS_UNAVAILABLE, error.code)
@@ -254,24 +254,24 @@
 
     @virtual
     async def test_a_turn_that_cannot_be_kept_has_run(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         turn = self.turn(group, make_call('t1', 1000))
         await turn.prepare()
         await turn.before_event(Event(b'', '1', b'out'))
-        await world.kill('b')
-        await world.kill('c')
+        await cluster.kill('b')
+        await cluster.kill('c')
         with testtools.ExpectedException(TimeoutError):
-            async with world.clock.timeout_ms(2000):
+            async with cluster.clock.timeout_ms(2000):
                 await turn.before_end()
         self.assertEqual(Outcome.UNKNOWN, deadline_passed().outcome)
         turn.close()
 
     @virtual
     async def test_a_forged_previous_turn(self) -> None:
-        world = World()
-        group = await world.three_and_group()
-        await group.store_turn(record('real'))
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
+        await group.store_turn(make_record('real'))
         turn = self.turn(group, make_call('t1', 1000, 'forged'))
         error = await self.refusal(turn)
         self.assertEqual(RefusalCode.UNKNOWN_TURN, error.code)
