--- a/test/process/test_gateway.py
+++ b/test/process/test_gateway.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of the store and of itself."""
+"""Tests of a gateway's watches of the store and of its readiness."""
 
 import random
 
@@ -18,12 +18,12 @@
 
 
 class PartlyUnavailableStore(MemoryStore):
-    """A store that fails the watches of one kind, and keeps each wait."""
+    """A store that fails the watches of one prefix and records all wait times."""
 
     lost = ''
 
     async def watch(self, prefix: str, revision: int, wait_ms: int = 0) -> Changes:
-        """Fail a lost kind."""
+        """Record the wait time; fail a watch of the unavailable prefix."""
         self.waits[prefix] = wait_ms
         faults = self.faults
         self.faults = Faults(down=prefix == self.lost)
@@ -35,10 +35,14 @@
 
 
 class GatewayTest(testtools.TestCase):
-    """One gateway in virtual time, without keepers and hosts."""
+    """A gateway in virtual time, without keepers and hosts."""
 
     async def start_gateway(self, lost: str = '') -> Gateway:
-        """Start a gateway and let some seconds pass."""
+        """Start a gateway and wait 10 s.
+
+        Args:
+            lost: prefix whose watches fail; empty for none.
+        """
         node = Node('gateway', Place('a', 'east'))
         clock = NodeClock(node)
         store = PartlyUnavailableStore(clock)
--- a/test/process/test_host_table.py
+++ b/test/process/test_host_table.py
@@ -1,4 +1,4 @@
-"""Which upstream hosts a gateway believes to be alive."""
+"""Tests of the upstream hosts that a gateway regards as alive."""
 
 import json
 
@@ -16,7 +16,7 @@
 
 
 def registration(name: str, version: int, **changes: object) -> StoredObject:
-    """Make a host's entry."""
+    """Return the registration of a host, with some fields changed."""
     fields = {
         'service': 'up',
         'address': '10.0.0.1:80',
@@ -29,22 +29,22 @@
 
 
 def deletion(name: str, version: int) -> StoredObject:
-    """Make the deletion of a host's entry."""
+    """Return the deletion of a host's registration."""
     return StoredObject(f'servers/{name}', b'', version)
 
 
 class HostTableTest(testtools.TestCase):
-    """Entries that come, change, lapse and go."""
+    """Registrations that are added, changed, lapse or are deleted."""
 
     def make_table(self, clock: Clock) -> HostTable:
-        """Make a table of two hosts."""
+        """Return a table with two hosts."""
         table = HostTable(clock)
         table.apply_change(registration('i-1', 1))
         table.apply_change(registration('i-2', 2))
         return table
 
     def available(self, table: HostTable) -> list[str]:
-        """Name the hosts that take new calls."""
+        """Return the ids of the hosts that accept new calls."""
         return [state.registration.id for state in table.available_hosts('up')]
 
     @virtual
@@ -54,7 +54,9 @@
         self.assertEqual(['i-2'], self.available(table))
 
     @virtual
-    async def test_deleted_host_is_removed_at_once(self) -> None:
+    async def test_deleted_host_is_removed_at_once(
+        self,
+    ) -> None:
         table = self.make_table(make_clock())
         table.apply_change(deletion('i-1', 3))
         self.assertEqual(['i-2'], self.available(table))
@@ -75,7 +77,7 @@
 
     @virtual
     async def test_host_is_kept_while_the_store_is_down(self) -> None:
-        """Another process may have told of it."""
+        """The deletion may have been read through a keeper as the relay."""
         table = self.make_table(make_clock())
         table.store_failed()
         table.apply_change(deletion('i-1', 3))
--- a/test/process/test_keepers.py
+++ b/test/process/test_keepers.py
@@ -1,4 +1,4 @@
-"""Keepers and the gateways that write to them, in virtual time."""
+"""Tests of keepers and of the gateways that write to them, in virtual time."""
 
 import random
 from typing import Any
@@ -26,27 +26,35 @@
 
 REGIONS = {'a': 'east', 'b': 'east', 'c': 'west', 'd': 'east'}
 RETENTION_MS = 60_000.0
-# A keeper in another region that was not asked before is greeted first.
+# Round trip to another region; the first request takes a second one, for the
+# handshake.
 ROUND_TRIP_MS = 2 * REGION_MS
 SLACK_MS = 10.0
 
 
 class StatusMemoryStore(MemoryStore):
-    """A memory store that takes statuses."""
+    """A memory store that records the statuses of objects."""
 
     statuses: dict[str, Any]
 
     async def report(self, key: str, status: dict[str, Any]) -> None:
-        """Keep a status."""
+        """Record a status."""
         await self.before_write()
         self.statuses[key] = status
 
 
 class KeeperCluster:
-    """A store, keepers and gateways with paths that can be cut."""
+    """A store, keepers and gateways on a network that can be cut.
+
+    Attributes:
+        fabric: the virtual network.
+        disks: the disks by the names of their keepers; they survive a kill.
+        nodes: the node on which each keeper runs.
+        keepers: the keepers by name.
+    """
 
     def __init__(self) -> None:
-        """Start with nothing but the store."""
+        """Create a store without keepers."""
         self.fabric = Fabric()
         self.clock = NodeClock(Node('world', Place('a', 'east')))
         self.store = StatusMemoryStore(self.clock)
@@ -56,7 +64,7 @@
         self.keepers: dict[str, Keeper] = {}
 
     async def start_keeper(self, name: str, first_start: bool = False) -> Keeper:
-        """Start a keeper on the disk of its name."""
+        """Start a keeper with the disk that belongs to its name."""
         node = Node(name, Place(name, REGIONS[name]))
         clock = NodeClock(node)
         disk = self.disks.setdefault(name, MemoryDisk(clock))
@@ -93,7 +101,7 @@
         await self.clock.sleep_ms(duration_ms)
 
     def start_group(self, name: str = 'gateway', zone: str = 'a') -> KeeperGroup:
-        """Start the keepers' side of a gateway."""
+        """Start the part of a gateway that uses the keepers."""
         node = Node(name, Place(zone, REGIONS[zone]))
         clock = NodeClock(node)
         tasks = TaskSet()
@@ -105,14 +113,14 @@
         return KeeperGroup(links, clock, tasks, 1)
 
     async def start_three_with_group(self, zone: str = 'a') -> KeeperGroup:
-        """Start three keepers and a gateway that has found them."""
+        """Start three keepers and a gateway that has read their list."""
         await self.start_three()
         group = self.start_group('gateway', zone)
         await self.wait(500)
         return group
 
     def keepers_with(self, turn: str) -> set[str]:
-        """Name the keepers on whose disks a turn is."""
+        """Return the names of the keepers that have a turn on disk."""
         return {
             name
             for name, disk in self.disks.items()
@@ -121,19 +129,19 @@
 
 
 def make_record(turn: str, previous: str = '') -> TurnRecord:
-    """Make a turn."""
+    """Return the record of a turn."""
     text = turn.encode()
     return TurnRecord(turn, 'p', previous, text, text, 5, RETENTION_MS, [])
 
 
 async def clear_cache(group: KeeperGroup) -> None:
-    """Make a gateway forget what it remembers."""
+    """Empty a gateway's cache of turns."""
     for turn in list(group.cache.records):
         group.cache.remove(turn)
 
 
 class ReplicationTest(testtools.TestCase):
-    """A turn counts once enough disks have it."""
+    """A turn is stored once it is on enough disks."""
 
     @virtual
     async def test_turn_is_stored_on_two_near_disks(self) -> None:
@@ -189,7 +197,7 @@
 
 
 class ChainsTest(testtools.TestCase):
-    """Turns are found wherever they were written."""
+    """Chains are found whichever gateways and keepers stored them."""
 
     @virtual
     async def test_another_gateway_finds_the_chain(self) -> None:
@@ -261,7 +269,7 @@
 
 
 class MembershipTest(testtools.TestCase):
-    """Lost disks and hosts that leave."""
+    """Lost disks, keepers that join, are replaced or retire, and compaction."""
 
     @virtual
     async def test_wiped_disk_is_restored(self) -> None:
@@ -357,7 +365,7 @@
 
 
 class BudgetsTest(testtools.TestCase):
-    """What a majority knows of spent tokens."""
+    """Token accounts as a majority of the keepers has them."""
 
     @virtual
     async def test_any_two_majorities_share_a_keeper(self) -> None:
@@ -390,7 +398,7 @@
         self.assertEqual((7, True), (entry.tokens, entry.settled))
 
     async def reserve(self, group: KeeperGroup, turn: str) -> set[str]:
-        """Reserve at a majority; gives the turns that it knows."""
+        """Reserve at a majority; return the turns that it has entries of."""
         known: set[str] = set()
         answers = 0
         message = ReserveTokens('p', turn, 10, RETENTION_MS)
--- a/test/process/test_limits.py
+++ b/test/process/test_limits.py
@@ -1,4 +1,4 @@
-"""Pacing, retries and subsets: what keeps an outage or a fleet bounded."""
+"""Tests of limits: paced writes, retry budgets and subsets of entries."""
 
 import random
 
@@ -22,7 +22,7 @@
 
 
 class PaceTest(testtools.TestCase):
-    """Writes within a share of the fleet's budget."""
+    """Writes to the store stay within the process's share of the fleet's rate."""
 
     @virtual
     async def test_rate_is_the_share_of_one_process(self) -> None:
@@ -59,7 +59,7 @@
 
 
 class RetryTest(testtools.TestCase):
-    """Retries that successes have earned."""
+    """Retries are limited by earlier successes."""
 
     def test_retries_end_without_successes(self) -> None:
         budget = RetryBudget()
@@ -82,10 +82,10 @@
 
 
 class SubsetsTest(testtools.TestCase):
-    """Which entries a sidecar reports to."""
+    """The entries to which a sidecar reports."""
 
     async def make_directory(self, count: int) -> Directory:
-        """Make a directory of entries in one region, and one in another."""
+        """Return a directory with `count` entries in one region."""
         directory = Directory(MemoryStore(make_clock()), make_clock())
         for number in range(count):
             record = EntryRecord(f'e{number}', f'e{number}:1', 'rimouski', 'est', 0)
@@ -98,7 +98,7 @@
         return directory
 
     def report(self, number: int) -> Report:
-        """Make one sidecar's report."""
+        """Return a report of one sidecar."""
         return Report(
             f's{number}',
             *('boot', 'advisory', 's:1', 'rimouski'),
--- a/test/process/test_prefix_watcher.py
+++ b/test/process/test_prefix_watcher.py
@@ -1,4 +1,4 @@
-"""Following the store when its watches fail in silence."""
+"""Tests of watching the store when watches stall or fail unnoticed."""
 
 import asyncio
 
@@ -13,10 +13,16 @@
 
 
 class StalledStore(MemoryStore):
-    """A store whose watches stall, or whose history is gone."""
+    """A store whose watches may stall, or which may have lost its history.
+
+    Attributes:
+        watches: how many watches were started.
+        stalled: whether watches of more than 1 s miss all changes.
+        history_gone: whether watches from an old revision fail.
+    """
 
     def __init__(self, clock: Clock) -> None:
-        """Start with no watch seen."""
+        """Create a store that has seen no watch."""
         super().__init__(clock)
         self.watches = 0
 
@@ -29,7 +35,7 @@
         revision: int,
         wait_ms: int = WATCH_TIMEOUT_MS,
     ) -> Changes:
-        """Wait without an answer; short watches are not stalled."""
+        """Watch a prefix; a stalled watch ends without changes."""
         if self.history_gone and revision < self.revision:
             raise StoreHistoryGone('compacted')
         self.watches += 1
@@ -40,23 +46,23 @@
 
 
 class PrefixWatcherTest(testtools.TestCase):
-    """What a follower hands over."""
+    """The objects that a watcher passes to its handlers."""
 
     def watcher(self, store: MemoryStore, **options: object) -> PrefixWatcher:
-        """Follow `a/` and remember what is there."""
+        """Return a watcher of `a/` that fills `self.objects`."""
         self.objects: dict[str, bytes] = {}
         handlers = WatchHandlers(self.on_object, relay=self.relay)
         return PrefixWatcher(store, store.clock, 'a/', handlers, **options)
 
     def on_object(self, stored: StoredObject) -> None:
-        """Remember an object, or forget it."""
+        """Record an object, or remove a deleted one."""
         if stored.body:
             self.objects[stored.key] = stored.body
         else:
             self.objects.pop(stored.key, None)
 
     async def relay(self, prefix: str) -> Changes | None:
-        """Know one object that the store doesn't tell of."""
+        """Return one object that is not in the store."""
         return Changes(99, [StoredObject('a/relayed', b'r', 99)])
 
     @virtual
--- a/test/process/test_record_log.py
+++ b/test/process/test_record_log.py
@@ -1,4 +1,4 @@
-"""The log on disk, with ends that a power loss has torn."""
+"""Tests of the log on disk, with segments torn by a power loss."""
 
 import asyncio
 import tempfile
@@ -11,17 +11,17 @@
 
 
 class RecordLogTest(testtools.TestCase):
-    """Writing, and reading again."""
+    """Records are written, and read again by the next start."""
 
     def setUp(self) -> None:
-        """Make a folder."""
+        """Choose a folder that does not exist yet."""
         super().setUp()
         directory = tempfile.TemporaryDirectory()
         self.addCleanup(directory.cleanup)
         self.folder = Path(directory.name) / 'keeper'
 
     async def write(self, *records: bytes) -> RecordLog:
-        """Open the log and append."""
+        """Open the log, append records and return it, still open."""
         log = RecordLog(self.folder)
         list(log.open())
         running = asyncio.ensure_future(log.run())
@@ -30,7 +30,7 @@
         return log
 
     def read(self) -> list[bytes]:
-        """Read what is there."""
+        """Open the log, return all its records and close it."""
         log = RecordLog(self.folder)
         records = list(log.open())
         log.close()
