--- a/pollenwalk/process/call_placer.py
+++ b/pollenwalk/process/call_placer.py
@@ -76,9 +76,9 @@
         states = self.host_table.available_hosts(call.upstream)
         candidates = (self.candidate(state, now_ms) for state in states)
         waits = (
-            round_trip_ms(one) + wait_ms(one, cost)
-            for one in candidates
-            if not one.suspected
+            round_trip_ms(candidate) + wait_ms(candidate, cost)
+            for candidate in candidates
+            if not candidate.suspected
         )
         return min(waits, default=0)
 
--- a/pollenwalk/process/host_table.py
+++ b/pollenwalk/process/host_table.py
@@ -165,7 +165,7 @@
             version=version,
             grace_ms=grace_ms,
         )
-        self.remove_expired()
+        self.remove_due_hosts()
 
     def registrations_may_have_lapsed(self) -> bool:
         """Return whether registrations of live hosts may have lapsed.
@@ -190,20 +190,20 @@
         if self.store_unavailable_since_ms is None:
             self.store_unavailable_since_ms = self.clock.now_ms()
 
-    def remove_expired(self) -> None:
+    def remove_due_hosts(self) -> None:
         """Remove the hosts whose removal is due."""
         now_ms = self.clock.now_ms()
-        expired = [
+        due = [
             name
             for name, state in self.states.items()
             if state.removal_due_ms is not None and state.removal_due_ms <= now_ms
         ]
-        for name in expired:
+        for name in due:
             self.states.pop(name)
 
     def available_hosts(self, upstream: str) -> Iterator[HostState]:
         """Yield the hosts of an upstream that are not leaving."""
-        self.remove_expired()
+        self.remove_due_hosts()
         for state in self.states.values():
             if (
                 state.registration.upstream == upstream
--- a/pollenwalk/process/joining.py
+++ b/pollenwalk/process/joining.py
@@ -112,7 +112,9 @@
         """
         fetched = self.fetched
         names = [
-            one.name for one in self.keeper.other_members() if one.name not in fetched
+            member.name
+            for member in self.keeper.other_members()
+            if member.name not in fetched
         ]
         return [*names, self.keeper.settings.name]
 
--- a/pollenwalk/process/keeper.py
+++ b/pollenwalk/process/keeper.py
@@ -144,8 +144,8 @@
 
     def other_members(self) -> list[Member]:
         """Return the other keepers, those that answer and are nearest first."""
-        found = (link.member for link in self.links.ordered())
-        return [one for one in found if one.name != self.settings.name]
+        members = (link.member for link in self.links.ordered())
+        return [member for member in members if member.name != self.settings.name]
 
     async def answer(self, _: Hello, message: Any) -> AsyncIterator[Any]:
         """Yield the answers to a message of a gateway or of another keeper."""
@@ -189,10 +189,10 @@
             entries = await self.state.reserve(message)
             return Spent(self.state.complete, entries)
         if isinstance(message, FindChain):
-            return self.state.chain(message.turn)
+            return self.state.find_chain(message.turn)
         if isinstance(message, FindMissing):
-            held = self.state.turns.records
-            return Missing([turn for turn in message.turns if turn not in held])
+            turns = self.state.turns.records
+            return Missing([turn for turn in message.turns if turn not in turns])
         if isinstance(message, ReadPrefix):
             return await self.read_for_another(message.prefix)
         await self.store_records(message)
--- a/pollenwalk/process/keeper_group.py
+++ b/pollenwalk/process/keeper_group.py
@@ -119,14 +119,14 @@
         return replicas
 
     async def retry_until_acknowledged(
-        self, work: Callable[[], Awaitable[Result]]
+        self, operation: Callable[[], Awaitable[Result]]
     ) -> Result:
         """Repeat an operation until enough keepers have acknowledged it.
 
         The repetition ends by cancellation at the deadline of the caller.
 
         Args:
-            work: the operation, which must be idempotent.
+            operation: the operation, which must be idempotent.
 
         Raises:
             Refusal: the operation was refused for another reason than
@@ -134,7 +134,7 @@
         """
         while True:
             try:
-                return await work()
+                return await operation()
             except Refusal as refusal:
                 if refusal.code != RefusalCode.KEEPERS_UNAVAILABLE:
                     raise
--- a/pollenwalk/process/keeper_state.py
+++ b/pollenwalk/process/keeper_state.py
@@ -109,7 +109,7 @@
         await self.log.append(encode_datagram(message))
         return entries
 
-    def chain(self, turn: str) -> Chain:
+    def find_chain(self, turn: str) -> Chain:
         """Return a turn and its predecessors, as far as this keeper has them."""
         return self.turns.use_chain(turn)._replace(complete=self.complete)
 
--- a/pollenwalk/process/prefix_watcher.py
+++ b/pollenwalk/process/prefix_watcher.py
@@ -145,12 +145,12 @@
         self.next_revision = listing.revision
         self.answered_revision = max(self.answered_revision, listing.revision)
         listed = {stored.key for stored in listing.objects}
-        gone = [
+        deleted = [
             StoredObject(key, b'', listing.revision)
             for key in sorted(self.known_keys - listed)
         ]
         self.known_keys = listed
-        return [*listing.objects, *gone]
+        return [*listing.objects, *deleted]
 
     def track_key(self, stored: StoredObject) -> None:
         """Add the key of an existing object, or remove that of a deleted one."""
--- a/pollenwalk/process/record_log.py
+++ b/pollenwalk/process/record_log.py
@@ -175,10 +175,12 @@
             self.wake.clear()
             batch = self.pending
             self.pending = []
-            await self.run_in_executor(self.write, b''.join(one.frame for one in batch))
-            for one in batch:
-                if not one.synced.done():
-                    one.synced.set_result(None)
+            await self.run_in_executor(
+                self.write, b''.join(record.frame for record in batch)
+            )
+            for record in batch:
+                if not record.synced.done():
+                    record.synced.set_result(None)
 
     def write(self, payload: bytes) -> None:
         """Append bytes to the current segment and sync it."""
--- a/pollenwalk/process/retirement.py
+++ b/pollenwalk/process/retirement.py
@@ -109,7 +109,9 @@
         Returns:
             Whether every record was copied; if not, it has to be tried again.
         """
-        others = [one for one in self.keeper.other_members() if not one.retiring]
+        others = [
+            member for member in self.keeper.other_members() if not member.retiring
+        ]
         if len(others) < self.keeper.required_copies:
             logger.warning('retirement_waits', others=len(others))
             return False
@@ -137,7 +139,9 @@
             record._replace(replicas=self.choose_replicas(record, others))
             for record in list(self.keeper.state.turns.records.values())
         )
-        records = {one.turn: one for one in updated if member.name in one.replicas}
+        records = {
+            record.turn: record for record in updated if member.name in record.replicas
+        }
         link = self.keeper.links.link(member)
         missing: Missing = await self.keeper.links.ask(
             link,
@@ -151,7 +155,7 @@
 
         Its present replicas among `others` are preferred, then the first others.
         """
-        names = [one.name for one in others]
+        names = [member.name for member in others]
         kept = [name for name in names if name in record.replicas]
         added = [name for name in names if name not in record.replicas]
         return [*kept, *added][: self.keeper.required_copies]
