--- a/pollenwalk/process/call_placer.py
+++ b/pollenwalk/process/call_placer.py
@@ -11,7 +11,7 @@
 from pollenwalk.process.host_table import SMOOTHING, HostState, HostTable
 from pollenwalk.request.call_state import Call
 
-# Expected run time of a call on an idle host until one has been measured.
+# Expected run time of a route's calls on an idle host, until one is measured.
 DEFAULT_RUN_MS = 150.0
 
 
--- a/pollenwalk/process/gateway_daemon.py
+++ b/pollenwalk/process/gateway_daemon.py
@@ -138,8 +138,11 @@
     async def drain(self, grace_ms: float) -> None:
         """Finish the requests in progress within the grace period, then stop.
 
-        The servers accept requests until the load balancer has had time to
+        Requests are still accepted at first, as the load balancer needs time to
         notice that the gateway is not ready.
+
+        Args:
+            grace_ms: time from SIGTERM until the process must have stopped.
         """
         started_ms = self.clock.now_ms()
         logger.info('stopping', in_progress=self.app.in_progress)
@@ -166,7 +169,10 @@
                 self.reload()
 
     def reload(self) -> None:
-        """Read the settings again; invalid ones are ignored."""
+        """Read the settings again; invalid ones are ignored.
+
+        Only a change of the store's URL takes effect without a restart.
+        """
         try:
             settings = read_settings(self.path, 'gateway')
         except UserError as error:
--- a/pollenwalk/process/gateway_metrics.py
+++ b/pollenwalk/process/gateway_metrics.py
@@ -76,7 +76,7 @@
         self.request_seconds.observe({'kind': kind}, took_ms / MS_PER_SECOND)
 
     def count_send(self, outcome: str) -> None:
-        """Count an attempt to send a call to an upstream host."""
+        """Count an attempt to send a call to a host, by its outcome."""
         self.sends_total.inc({'outcome': outcome})
 
     def count_store_failure(self, what: str) -> None:
--- a/pollenwalk/process/host_list.py
+++ b/pollenwalk/process/host_list.py
@@ -28,5 +28,5 @@
         try:
             fleet.update_leaving_addresses(await hosts.leaving())
         except ConnectionLost as error:
-            logger.debug('host_list_silent', reason=error.message)
+            logger.debug('host_list_unavailable', reason=error.message)
         await clock.sleep_ms(POLL_INTERVAL_MS)
--- a/pollenwalk/process/host_table.py
+++ b/pollenwalk/process/host_table.py
@@ -1,9 +1,9 @@
 """The registered upstream hosts, with this gateway's estimate of each.
 
 A host registers itself in the store under its id. A registration that
-disappears after the store was unavailable may have lapsed although its host is
-alive. The host is therefore kept for the time that a live host needs to
-register again.
+disappears while the store is unavailable, or soon afterwards, may have lapsed
+although its host is alive. The host is therefore kept for the time that a live
+host needs to register again.
 """
 
 from collections.abc import Iterator
@@ -149,7 +149,7 @@
         )
 
     def registration_deleted(self, host: str, version: int) -> None:
-        """Remove a host whose registration is gone.
+        """Remove a host whose registration has been deleted.
 
         It is removed at once, or, if the registration may only have lapsed,
         once the host has had time to register again.
--- a/pollenwalk/process/joining.py
+++ b/pollenwalk/process/joining.py
@@ -20,7 +20,7 @@
 # between regions.
 BATCH_TIMEOUT_MS = 1500.0
 FETCH_INTERVAL_MS = 200.0
-# A joining keeper replaces one that it has not reached within this time.
+# A joining keeper replaces another that it has not reached within this time.
 REPLACE_AFTER_MS = 3000.0
 
 
@@ -108,7 +108,7 @@
     def lost_keepers(self) -> list[str]:
         """Return the names of the keepers whose copies may be lost.
 
-        They are the keepers that nothing was fetched from, and this one.
+        They are this keeper and those whose records have not all been fetched.
         """
         fetched = self.fetched
         names = [
--- a/pollenwalk/process/keeper.py
+++ b/pollenwalk/process/keeper.py
@@ -41,7 +41,7 @@
     TurnRecord,
 )
 
-# Most records in one message, which are some hundred kilobytes.
+# A message with this many records has some hundred kilobytes.
 MAX_BATCH_RECORDS = 64
 REGISTRATION_CHECK_INTERVAL_MS = 100.0
 EXPIRE_INTERVAL_MS = 5000.0
@@ -139,7 +139,7 @@
 
     @property
     def required_copies(self) -> int:
-        """Return on how many disks a turn must be."""
+        """Return how many keepers must store a turn."""
         return self.settings.tolerated_losses + 1
 
     def other_members(self) -> list[Member]:
@@ -250,7 +250,7 @@
             self.was_member = self.settings.name in self.links.members.by_name
 
     async def keep_registered(self) -> None:
-        """Register this keeper whenever the store does not list it as it is."""
+        """Register this keeper whenever its object in the store must be written."""
         backoff = Backoff(self.clock)
         while True:
             await self.clock.sleep_ms(REGISTRATION_CHECK_INTERVAL_MS)
@@ -305,7 +305,7 @@
 
 
 def batched(records: Iterable[bytes]) -> Iterator[list[bytes]]:
-    """Yield records in batches; a last one is yielded even if it is empty."""
+    """Yield records in batches, at least one, of which the last may be empty."""
     batch: list[bytes] = []
     for record in records:
         batch.append(record)
--- a/pollenwalk/process/keeper_group.py
+++ b/pollenwalk/process/keeper_group.py
@@ -34,8 +34,8 @@
 # Settlements are sent in batches at this interval. It is much shorter than the
 # second for which a finished turn may still count with its whole reservation.
 SETTLE_INTERVAL_MS = 30.0
-# Pause before a request is repeated that too few keepers answered: half of the
-# interval at which lost keepers are probed.
+# Pause before an operation is repeated that too few keepers acknowledged: half
+# of the interval at which lost keepers are probed.
 RETRY_INTERVAL_MS = 100.0
 
 Result = TypeVar('Result')
@@ -77,7 +77,7 @@
 
     @property
     def required_copies(self) -> int:
-        """Return on how many disks a record must be."""
+        """Return how many keepers must store a turn."""
         return self.tolerated_losses + 1
 
     async def ask_all(self, message: Any) -> AsyncIterator[Any]:
--- a/pollenwalk/process/record_log.py
+++ b/pollenwalk/process/record_log.py
@@ -14,6 +14,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple, Protocol
 
+# Length in bytes and CRC-32 of the record that follows.
 FRAME_HEADER = struct.Struct('<II')
 SEGMENT_PREFIX = 'segment-'
 SEGMENT_SUFFIX = '.log'
--- a/pollenwalk/process/recorder.py
+++ b/pollenwalk/process/recorder.py
@@ -142,7 +142,7 @@
                 try:
                     await peers(address).ask(Settle(calls), SETTLE_TIMEOUT_MS)
                 except (ConnectionLost, Refusal) as error:
-                    logger.debug('settle_lost', address=address, reason=str(error))
+                    logger.debug('settle_failed', address=address, reason=str(error))
 
 
 def store_unavailable() -> Refusal:
--- a/pollenwalk/process/turn_replication.py
+++ b/pollenwalk/process/turn_replication.py
@@ -24,7 +24,7 @@
         candidates: the keepers that have not been asked, in order of preference.
         stored_copies: how many keepers have acknowledged the record.
         max_distance: greatest distance rank of the keepers that were asked.
-        sending: the requests that are not answered.
+        sending: the open requests.
     """
 
     def __init__(
@@ -107,7 +107,7 @@
 
 
 def keepers_unavailable(reason: str) -> Refusal:
-    """Return the refusal of a turn for which too few keepers answer."""
+    """Return the refusal of a request that too few keepers have answered."""
     return Refusal(
         RefusalCode.KEEPERS_UNAVAILABLE,
         reason,
