--- a/pollenwalk/process/gateway_daemon.py
+++ b/pollenwalk/process/gateway_daemon.py
@@ -68,16 +68,16 @@
         self.settings = settings
         self.path = path
         self.clock = LoopClock()
-        own = settings.section('gateway')
+        options = settings.section('gateway')
         self.store = PlatformStore(settings.section('store')['url'])
         self.gateway = Gateway(
             GatewaySettings(
-                own['name'],
-                own['zone'],
+                options['name'],
+                options['zone'],
                 settings.regions,
-                own['tolerated_losses'],
-                own['change_delay_ms'],
-                own['leave_notice_ms'],
+                options['tolerated_losses'],
+                options['change_delay_ms'],
+                options['leave_notice_ms'],
             ),
             self.store,
             TcpNetwork(),
@@ -92,17 +92,17 @@
         )
         self.caller_server = HttpServer(
             self.app,
-            *split_address(own['http']),
+            *split_address(options['http']),
             CALLER_KEEP_ALIVE_S,
         )
         self.readiness_server = HttpServer(
             self.readiness_app(),
-            *split_address(own['ready']),
+            *split_address(options['ready']),
         )
         self.metrics_page = metrics_server(
             self.gateway.metrics,
             self.refresh_metrics,
-            own['metrics'],
+            options['metrics'],
         )
 
     def readiness_app(self) -> Starlette:
@@ -121,15 +121,15 @@
 
     async def run(self) -> None:
         """Serve until SIGTERM, then finish the requests in progress."""
-        own = self.settings.section('gateway')
+        options = self.settings.section('gateway')
         stopped = stop_on_signals(self.reload)
-        logger.info('start', role='gateway', name=own['name'], zone=own['zone'])
+        logger.info('start', role='gateway', name=options['name'], zone=options['zone'])
         await self.gateway.start()
         for server in self.servers():
             await server.start()
         self.gateway.tasks.spawn(self.watch_settings(), 'watch_settings')
         await stopped.wait()
-        await self.drain(own['grace_s'] * MS_PER_SECOND)
+        await self.drain(options['grace_s'] * MS_PER_SECOND)
 
     def servers(self) -> tuple[HttpServer, ...]:
         """Return all servers, the one for callers first."""
--- a/pollenwalk/process/keeper_daemon.py
+++ b/pollenwalk/process/keeper_daemon.py
@@ -82,18 +82,18 @@
 
 def make_keeper(settings: Settings, store: PlatformStore) -> Keeper:
     """Create a keeper from validated settings."""
-    own = settings.section('keeper')
+    options = settings.section('keeper')
     clock = LoopClock()
     return Keeper(
         KeeperSettings(
-            own['name'],
-            own['zone'],
+            options['name'],
+            options['zone'],
             settings.regions,
-            own['address'],
-            own['first_start'] == 'true',
-            own['tolerated_losses'],
+            options['address'],
+            options['first_start'] == 'true',
+            options['tolerated_losses'],
         ),
-        KeeperState(RecordLog(Path(own['folder'])), clock),
+        KeeperState(RecordLog(Path(options['folder'])), clock),
         store,
         TcpNetwork(),
         clock,
