--- a/pollenwalk/process/call_placer.py
+++ b/pollenwalk/process/call_placer.py
@@ -11,7 +11,7 @@
 from pollenwalk.process.host_table import SMOOTHING, HostState, HostTable
 from pollenwalk.request.call_state import Call
 
-# Expected run time of a call on an idle host until one has been measured.
+# Expected run time of a route's calls on an idle host, until one is measured.
 DEFAULT_RUN_MS = 150.0
 
 
@@ -76,9 +76,9 @@
         states = self.host_table.available_hosts(call.upstream)
         candidates = (self.candidate(state, now_ms) for state in states)
         waits = (
-            round_trip_ms(one) + queue_wait_ms(one, cost)
-            for one in candidates
-            if not one.suspected
+            round_trip_ms(candidate) + queue_wait_ms(candidate, cost)
+            for candidate in candidates
+            if not candidate.suspected
         )
         return min(waits, default=0)
 
--- a/pollenwalk/process/host_table.py
+++ b/pollenwalk/process/host_table.py
@@ -1,9 +1,9 @@
 """The registered upstream hosts, with this gateway's estimate of each.
 
 A host registers itself in the store under its id. A registration that
-disappears after the store was unavailable may have lapsed although its host is
-alive. The host is therefore kept for the time that a live host needs to
-register again.
+disappears while the store is unavailable, or soon afterwards, may have lapsed
+although its host is alive. The host is therefore kept for the time that a live
+host needs to register again.
 """
 
 from collections.abc import Iterator
@@ -149,7 +149,7 @@
         )
 
     def registration_deleted(self, host: str, version: int) -> None:
-        """Remove a host whose registration is gone.
+        """Remove a host whose registration has been deleted.
 
         It is removed at once, or, if the registration may only have lapsed,
         once the host has had time to register again.
@@ -165,7 +165,7 @@
             version=version,
             grace_ms=grace_ms,
         )
-        self.remove_expired()
+        self.remove_due_hosts()
 
     def registrations_may_have_lapsed(self) -> bool:
         """Return whether registrations of live hosts may have lapsed.
@@ -190,20 +190,20 @@
         if self.store_unavailable_since_ms is None:
             self.store_unavailable_since_ms = self.clock.now_ms()
 
-    def remove_expired(self) -> None:
+    def remove_due_hosts(self) -> None:
         """Remove the hosts whose removal is due."""
         now_ms = self.clock.now_ms()
-        expired = [
+        due = [
             name
             for name, state in self.states.items()
             if state.removal_due_ms is not None and state.removal_due_ms <= now_ms
         ]
-        for name in expired:
+        for name in due:
             self.states.pop(name)
 
     def available_hosts(self, upstream: str) -> Iterator[HostState]:
         """Yield the hosts of an upstream that are not leaving."""
-        self.remove_expired()
+        self.remove_due_hosts()
         for state in self.states.values():
             if (
                 state.registration.upstream == upstream
--- a/pollenwalk/process/record_log.py
+++ b/pollenwalk/process/record_log.py
@@ -14,6 +14,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple, Protocol
 
+# Length in bytes and CRC-32 of the record that follows.
 FRAME_HEADER = struct.Struct('<II')
 SEGMENT_PREFIX = 'segment-'
 SEGMENT_SUFFIX = '.log'
@@ -175,10 +176,12 @@
             self.wake.clear()
             batch = self.pending
             self.pending = []
-            await self.run_in_executor(self.write, b''.join(one.frame for one in batch))
-            for one in batch:
-                if not one.synced.done():
-                    one.synced.set_result(None)
+            await self.run_in_executor(
+                self.write, b''.join(record.frame for record in batch)
+            )
+            for record in batch:
+                if not record.synced.done():
+                    record.synced.set_result(None)
 
     def write(self, payload: bytes) -> None:
         """Append bytes to the current segment and sync it."""
