--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -140,7 +140,7 @@
         relay = self.keepers.read_prefix
         configuration = WatchHandlers(
             self.active_configuration.apply,
-            self.host_table.store_answered,
+            self.host_table.record_store_answer,
             lambda error: self.on_store_unavailable('configuration', error),
             relay,
         )
@@ -187,12 +187,12 @@
     def on_hosts_read(self) -> None:
         """Mark the host table as loaded and close connections to removed hosts."""
         self.host_table.loaded = True
-        self.host_table.store_answered()
+        self.host_table.record_store_answer()
         self.pool.close_all_except(set(self.host_table.states))
 
     def on_store_unavailable(self, what: str, error: StoreUnavailable) -> None:
         """Record that the store did not answer, so that lists may be stale."""
-        self.host_table.store_failed()
+        self.host_table.record_store_failure()
         self.metrics.count_store_failure(what)
         logger.warning('store_unavailable', what=what, reason=error.message)
 
--- a/pollenwalk/process/host_table.py
+++ b/pollenwalk/process/host_table.py
@@ -46,7 +46,7 @@
         reported_at_ms: time of the last load report; None before the first.
         failures: number of consecutive failures.
         suspected_until_ms: time until which the host is suspected to fail.
-        removal_due_ms: time at which a host without a registration is removed;
+        removal_due_at_ms: time at which a host without a registration is removed;
             None for a registered host.
     """
 
@@ -58,7 +58,7 @@
         self.reported_at_ms: float | None = None
         self.failures = 0
         self.suspected_until_ms = 0.0
-        self.removal_due_ms: float | None = None
+        self.removal_due_at_ms: float | None = None
 
     def record_load(self, load: tuple[int, int, int], now_ms: float) -> None:
         """Record the load that the host reported with an answer.
@@ -87,8 +87,8 @@
         """Suspect the host for a time that grows with consecutive failures."""
         self.failures += 1
         doublings = min(self.failures - 1, MAX_DOUBLINGS)
-        pause_ms = MIN_SUSPICION_MS * 2**doublings
-        self.suspected_until_ms = now_ms + min(pause_ms, MAX_SUSPICION_MS)
+        suspicion_ms = MIN_SUSPICION_MS * 2**doublings
+        self.suspected_until_ms = now_ms + min(suspicion_ms, MAX_SUSPICION_MS)
 
     def record_success(self) -> None:
         """Clear the suspicion of the host."""
@@ -104,7 +104,7 @@
         loaded: whether the hosts have been read from the store.
         store_unavailable_since_ms: time of the first read without an answer;
             None while the store answers.
-        store_recovered_ms: time at which the store answered again; None if it
+        store_recovered_at_ms: time at which the store answered again; None if it
             always answered.
     """
 
@@ -114,13 +114,13 @@
         self.states: dict[str, HostState] = {}
         self.loaded = False
         self.store_unavailable_since_ms: float | None = None
-        self.store_recovered_ms: float | None = None
+        self.store_recovered_at_ms: float | None = None
 
     def apply_change(self, stored: StoredObject) -> None:
         """Apply a changed or deleted registration; ignore an unreadable one."""
         name = stored.key.removeprefix(HOSTS_PREFIX)
         if not stored.body:
-            self.registration_deleted(name, stored.version)
+            self.deregister(name, stored.version)
             return
         try:
             registration = decode_host(stored.key, stored.body)
@@ -139,7 +139,7 @@
             state = HostState(registration)
             self.states[registration.id] = state
         state.registration = registration
-        state.removal_due_ms = None
+        state.removal_due_at_ms = None
         logger.info(
             'upstream_host',
             host=registration.id,
@@ -148,7 +148,7 @@
             version=version,
         )
 
-    def registration_deleted(self, host: str, version: int) -> None:
+    def deregister(self, host: str, version: int) -> None:
         """Remove a host whose registration has been deleted.
 
         It is removed at once, or, if the registration may only have lapsed,
@@ -158,7 +158,7 @@
         if state is None:
             return
         grace_ms = REREGISTRATION_MS if self.registrations_may_have_lapsed() else 0
-        state.removal_due_ms = self.clock.now_ms() + grace_ms
+        state.removal_due_at_ms = self.clock.now_ms() + grace_ms
         logger.info(
             'upstream_host_gone',
             host=host,
@@ -174,18 +174,18 @@
         """
         if self.store_unavailable_since_ms is not None:
             return True
-        if self.store_recovered_ms is None:
+        if self.store_recovered_at_ms is None:
             return False
-        return self.clock.now_ms() - self.store_recovered_ms < STORE_RECOVERY_MS
+        return self.clock.now_ms() - self.store_recovered_at_ms < STORE_RECOVERY_MS
 
-    def store_answered(self) -> None:
+    def record_store_answer(self) -> None:
         """Record that the store answered."""
         if self.store_unavailable_since_ms is None:
             return
         self.store_unavailable_since_ms = None
-        self.store_recovered_ms = self.clock.now_ms()
+        self.store_recovered_at_ms = self.clock.now_ms()
 
-    def store_failed(self) -> None:
+    def record_store_failure(self) -> None:
         """Record that the store did not answer."""
         if self.store_unavailable_since_ms is None:
             self.store_unavailable_since_ms = self.clock.now_ms()
@@ -196,7 +196,7 @@
         due = [
             name
             for name, state in self.states.items()
-            if state.removal_due_ms is not None and state.removal_due_ms <= now_ms
+            if state.removal_due_at_ms is not None and state.removal_due_at_ms <= now_ms
         ]
         for name in due:
             self.states.pop(name)
--- a/test/process/test_host_table.py
+++ b/test/process/test_host_table.py
@@ -65,8 +65,8 @@
     async def test_lapsed_registration_is_kept_for_a_while(self) -> None:
         clock = make_clock()
         table = self.make_table(clock)
-        table.store_failed()
-        table.store_answered()
+        table.record_store_failure()
+        table.record_store_answer()
         table.apply_change(deletion('i-1', 3))
         table.apply_change(deletion('i-2', 4))
         await clock.sleep_ms(REREGISTRATION_MS - 100)
@@ -79,7 +79,7 @@
     async def test_host_is_kept_while_the_store_is_down(self) -> None:
         """The deletion may have been read through a keeper as the relay."""
         table = self.make_table(make_clock())
-        table.store_failed()
+        table.record_store_failure()
         table.apply_change(deletion('i-1', 3))
         self.assertEqual(['i-1', 'i-2'], self.available(table))
 
@@ -87,8 +87,8 @@
     async def test_deletions_are_trusted_after_a_recovery(self) -> None:
         clock = make_clock()
         table = self.make_table(clock)
-        table.store_failed()
-        table.store_answered()
+        table.record_store_failure()
+        table.record_store_answer()
         await clock.sleep_ms(STORE_RECOVERY_MS + 1)
         table.apply_change(deletion('i-1', 3))
         self.assertEqual(['i-2'], self.available(table))
