--- a/pollenwalk/process/gateway_daemon.py
+++ b/pollenwalk/process/gateway_daemon.py
@@ -28,7 +28,7 @@
 
 # The load balancer checks readiness once a second and removes a gateway after
 # two failed checks.
-BALANCER_NOTICE_MS = 2500.0
+BALANCER_REMOVAL_MS = 2500.0
 # Part of the grace period that is reserved for closing the servers.
 CLOSE_RESERVE_MS = 700.0
 DRAIN_CHECK_INTERVAL_MS = 50.0
@@ -149,7 +149,7 @@
         self.gateway.stopping = True
         self.app.closing = True
         deadline_at_ms = started_ms + max(grace_ms - CLOSE_RESERVE_MS, 0)
-        await self.clock.sleep_ms(min(BALANCER_NOTICE_MS, deadline_at_ms - started_ms))
+        await self.clock.sleep_ms(min(BALANCER_REMOVAL_MS, deadline_at_ms - started_ms))
         while self.app.in_progress and self.clock.now_ms() < deadline_at_ms:
             await self.clock.sleep_ms(DRAIN_CHECK_INTERVAL_MS)
         for server in self.servers():
--- a/pollenwalk/process/host_list.py
+++ b/pollenwalk/process/host_list.py
@@ -22,11 +22,11 @@
         """
 
 
-async def poll_host_list(hosts: HostList, fleet: Fleet, clock: Clock) -> None:
+async def poll_host_list(host_list: HostList, fleet: Fleet, clock: Clock) -> None:
     """Poll the list until cancelled, so that leaving hosts get no new calls."""
     while True:
         try:
-            fleet.update_leaving_addresses(await hosts.fetch_leaving())
+            fleet.update_leaving_addresses(await host_list.fetch_leaving())
         except ConnectionLost as error:
             logger.debug('host_list_unavailable', reason=error.message)
         await clock.sleep_ms(POLL_INTERVAL_MS)
--- a/pollenwalk/process/joining.py
+++ b/pollenwalk/process/joining.py
@@ -80,7 +80,7 @@
         count = 0
         complete = True
         try:
-            async for batch in self.batches(peer):
+            async for batch in self.fetch_batches(peer):
                 complete = complete and batch.complete
                 count += await keeper.state.add_records(batch.records)
         except (PollenwalkError, TimeoutError) as error:
@@ -91,7 +91,7 @@
         logger.info('fetched', keeper=member.name, new=count, complete=complete)
         return complete
 
-    async def batches(self, peer: Peer) -> AsyncIterator[RecordBatch]:
+    async def fetch_batches(self, peer: Peer) -> AsyncIterator[RecordBatch]:
         """Yield the batches of records that a keeper sends.
 
         Raises:
@@ -128,5 +128,5 @@
                 lost=member.name,
                 by=self.keeper.settings.name,
             )
-            await self.keeper.remove(member)
+            await self.keeper.remove_member(member)
             return
--- a/pollenwalk/process/keeper.py
+++ b/pollenwalk/process/keeper.py
@@ -194,7 +194,7 @@
             turns = self.state.turns.records
             return Missing([turn for turn in message.turns if turn not in turns])
         if isinstance(message, ReadPrefix):
-            return await self.read_for_another(message.prefix)
+            return await self.read_prefix(message.prefix)
         await self.store_records(message)
         return Stored(self.state.complete)
 
@@ -216,7 +216,7 @@
         else:
             raise Refusal(RefusalCode.PROTOCOL, 'a keeper does not take this message')
 
-    async def read_for_another(self, prefix: str) -> Listing:
+    async def read_prefix(self, prefix: str) -> Listing:
         """List a prefix of the store for a process that can't reach the store.
 
         Raises:
@@ -278,7 +278,7 @@
         should_be_listed = self.state.complete and not self.retired
         return should_be_listed and listed != self.own_member
 
-    async def remove(self, member: Member) -> None:
+    async def remove_member(self, member: Member) -> None:
         """Remove a keeper from the store, however long the store is unavailable."""
         await self.retry_until_acknowledged(lambda: self.store.delete(member.key))
 
--- a/pollenwalk/process/keeper_group.py
+++ b/pollenwalk/process/keeper_group.py
@@ -48,7 +48,7 @@
         cache: the turns that this gateway used last.
         retry_advisor: sets Retry-After of refusals because of unavailable
             keepers.
-        unsettled: settlements that will be sent with the next batch.
+        queued_settlements: settlements that will be sent with the next batch.
     """
 
     def __init__(
@@ -73,21 +73,21 @@
         self.tolerated_losses = tolerated_losses
         self.cache = TurnIndex(clock, CACHE_BYTES)
         self.retry_advisor = RetryAdvisor(clock)
-        self.unsettled: list[SettleTokens] = []
+        self.queued_settlements: list[SettleTokens] = []
 
     @property
     def required_copies(self) -> int:
         """Return how many keepers must store a turn."""
         return self.tolerated_losses + 1
 
-    async def ask_all(self, message: Any) -> AsyncIterator[Any]:
+    async def request_all(self, message: Any) -> AsyncIterator[Any]:
         """Send a message to all keepers and yield the answers as they arrive.
 
         Keepers that fail or don't answer in time are skipped. Requests that are
         still open when the caller stops iterating are cancelled.
         """
         pending = [
-            asyncio.ensure_future(self.links.ask(link, message))
+            asyncio.ensure_future(self.links.request(link, message))
             for link in self.links.ordered()
         ]
         try:
@@ -166,7 +166,7 @@
         links = self.links.ordered()
         without_turn = 0
         for link in links:
-            found = await self.ask_for_chain(link, turn)
+            found = await self.request_chain(link, turn)
             if found is not None and found.turns:
                 return found
             without_turn += int(found is not None and found.complete)
@@ -177,9 +177,9 @@
             f'turn {turn}',
         )
 
-    async def ask_for_chain(self, link: KeeperLink, turn: str) -> Chain | None:
+    async def request_chain(self, link: KeeperLink, turn: str) -> Chain | None:
         """Ask one keeper for a turn's chain; return None if it does not answer."""
-        return await answer_or_none(self.links.ask(link, FindChain(turn)))
+        return await answer_or_none(self.links.request(link, FindChain(turn)))
 
     async def read_prefix(self, prefix: str) -> Changes | None:
         """List a prefix of the store through the nearest keeper that reaches it.
@@ -188,7 +188,7 @@
             The objects; None if no keeper reaches the store.
         """
         for link in self.links.ordered():
-            pending = self.links.ask(link, ReadPrefix(prefix))
+            pending = self.links.request(link, ReadPrefix(prefix))
             listing: Listing | None = await answer_or_none(pending)
             if listing is not None:
                 logger.info(
@@ -203,8 +203,8 @@
 
     def settle(self, message: SettleTokens) -> None:
         """Queue a settlement, which is sent to all keepers in a batch."""
-        self.unsettled.append(message)
-        if len(self.unsettled) == 1:
+        self.queued_settlements.append(message)
+        if len(self.queued_settlements) == 1:
             self.tasks.spawn(self.send_settlements(), 'settle')
 
     async def send_settlements(self) -> None:
@@ -214,9 +214,9 @@
         reservation of the turn.
         """
         await self.clock.sleep_ms(SETTLE_INTERVAL_MS)
-        message = Settlements(self.unsettled)
-        self.unsettled = []
-        pending = [self.links.ask(link, message) for link in self.links.ordered()]
+        message = Settlements(self.queued_settlements)
+        self.queued_settlements = []
+        pending = [self.links.request(link, message) for link in self.links.ordered()]
         await asyncio.gather(*map(answer_or_none, pending))
 
 
--- a/pollenwalk/process/keeper_links.py
+++ b/pollenwalk/process/keeper_links.py
@@ -18,7 +18,7 @@
 
 # Timeout of a request: enough for a round trip between regions, two syncs of
 # the disk and the retransmission of a lost packet.
-ASK_TIMEOUT_MS = 700.0
+REQUEST_TIMEOUT_MS = 700.0
 # Interval between the probes of a lost keeper; a process restarts within 1 s.
 PROBE_INTERVAL_MS = 200.0
 # Ranks of zones by their distance.
@@ -125,7 +125,7 @@
         since_ms = max(self.lost_times_ms(), default=self.clock.now_ms())
         return self.clock.now_ms() - since_ms
 
-    async def ask(self, link: KeeperLink, message: Any) -> Any:
+    async def request(self, link: KeeperLink, message: Any) -> Any:
         """Send a message to one keeper and return its answer.
 
         Raises:
@@ -135,7 +135,7 @@
         if link.lost_since_ms is not None:
             raise ConnectionLost(f'{link.member.name} is lost')
         try:
-            return await link.peer.request(message, ASK_TIMEOUT_MS)
+            return await link.peer.request(message, REQUEST_TIMEOUT_MS)
         except ConnectionLost as error:
             self.mark_lost(link, error)
             raise
@@ -157,7 +157,7 @@
         """Probe a lost keeper until it answers or its link is replaced."""
         while self.by_name.get(link.member.name) is link:
             try:
-                await link.peer.request(Settlements([]), ASK_TIMEOUT_MS)
+                await link.peer.request(Settlements([]), REQUEST_TIMEOUT_MS)
             except PollenwalkError:
                 # The loss has been logged by `mark_lost`.
                 await self.clock.sleep_ms(PROBE_INTERVAL_MS)
--- a/pollenwalk/process/retirement.py
+++ b/pollenwalk/process/retirement.py
@@ -92,7 +92,7 @@
         while not await self.replicate_elsewhere():
             await keeper.clock.sleep_ms(RETRY_INTERVAL_MS)
         keeper.retired = True
-        await keeper.remove(keeper.own_member)
+        await keeper.remove_member(keeper.own_member)
         await self.report(True)
         logger.info('retired', turns=len(keeper.state.turns.records))
 
@@ -143,7 +143,7 @@
             record.turn: record for record in updated if member.name in record.replicas
         }
         link = self.keeper.links.link(member)
-        missing: Missing = await self.keeper.links.ask(
+        missing: Missing = await self.keeper.links.request(
             link,
             FindMissing(list(records)),
         )
@@ -164,4 +164,4 @@
         """Send encoded records to another keeper, in batches."""
         link = self.keeper.links.link(member)
         for batch in batched(records):
-            await self.keeper.links.ask(link, PushRecords(batch))
+            await self.keeper.links.request(link, PushRecords(batch))
--- a/pollenwalk/process/turn_replication.py
+++ b/pollenwalk/process/turn_replication.py
@@ -70,28 +70,28 @@
             Refusal: too few keepers have stored the turn, and none is left to
                 ask.
         """
-        self.send_to(self.required_copies)
+        self.send_to_next(self.required_copies)
         while self.stored_copies < self.required_copies:
             if not self.sending:
                 raise keepers_unavailable(
                     f'stored {self.stored_copies} of {self.required_copies} copies',
                 )
-            done, left = await asyncio.wait(
+            done, pending = await asyncio.wait(
                 self.sending,
                 timeout=self.hedge_ms() / MS_PER_SECOND,
                 return_when=asyncio.FIRST_COMPLETED,
             )
-            self.sending = left
+            self.sending = pending
             succeeded = sum(task.exception() is None for task in done)
             self.stored_copies += succeeded
-            self.send_to(len(done) - succeeded if done else 1)
+            self.send_to_next(len(done) - succeeded if done else 1)
 
-    def send_to(self, count: int) -> None:
+    def send_to_next(self, count: int) -> None:
         """Send the turn to the next `count` candidates."""
         chosen = self.candidates[:count]
         self.candidates = self.candidates[count:]
         for link in chosen:
-            request = self.links.ask(link, self.record)
+            request = self.links.request(link, self.record)
             self.sending.add(asyncio.ensure_future(request))
             self.max_distance = max(self.max_distance, link.distance)
 
--- a/pollenwalk/request/reservation.py
+++ b/pollenwalk/request/reservation.py
@@ -149,7 +149,7 @@
         copies_made = 0
         # Read only once, since the list of keepers may change while they answer.
         majority = self.group.links.majority
-        async for spent in self.group.ask_all(self.message):
+        async for spent in self.group.request_all(self.message):
             copies_made += 1
             self.add_answer(spent, known_entries)
             if (
--- a/test/process/test_keepers.py
+++ b/test/process/test_keepers.py
@@ -402,7 +402,7 @@
         known: set[str] = set()
         answers = 0
         message = ReserveTokens('p', turn, 10, RETENTION_MS)
-        async for spent in group.ask_all(message):
+        async for spent in group.request_all(message):
             answers += 1
             known |= {entry.turn for entry in spent.entries}
             if answers >= group.links.majority:
