--- a/pollenwalk/process/call_placer.py
+++ b/pollenwalk/process/call_placer.py
@@ -105,7 +105,7 @@
         state.record_failure(self.clock.now_ms())
 
     def expected_run_ms(self, call: Call) -> float:
-        """Return the expected run time of a call on a host with a free slot."""
+        """Return the expected run time of a call that does not wait for a slot."""
         return self.run_times.get(call.route.name, DEFAULT_RUN_MS)
 
     def record_run_time(self, call: Call, run_ms: float) -> None:
--- a/pollenwalk/process/gateway_daemon.py
+++ b/pollenwalk/process/gateway_daemon.py
@@ -26,7 +26,7 @@
 from pollenwalk.process.settings import Settings, read_settings
 from pollenwalk.process.signals import stop_on_signals
 
-# Time from SIGTERM until the load balancer sends no new callers: it checks
+# Time from the stop signal until the load balancer sends no new callers: it checks
 # readiness once a second and removes a gateway after two failed checks.
 BALANCER_REMOVAL_MS = 2500.0
 # Part of the grace period that is reserved for closing the servers.
--- a/pollenwalk/process/host_table.py
+++ b/pollenwalk/process/host_table.py
@@ -192,7 +192,7 @@
             self.store_unavailable_since_ms = self.clock.now_ms()
 
     def remove_due_hosts(self) -> None:
-        """Remove the hosts that have not registered again in time."""
+        """Remove the hosts whose time to register again has passed."""
         now_ms = self.clock.now_ms()
         due = [
             name
--- a/pollenwalk/process/keeper.py
+++ b/pollenwalk/process/keeper.py
@@ -51,7 +51,7 @@
     """The settings that a keeper reads at its start.
 
     Attributes:
-        name: name of the keeper.
+        name: name of the keeper, which is that of its host.
         zone: availability zone of the keeper.
         regions: the region of each zone.
         address: `host:port` that the keeper listens on.
--- a/pollenwalk/process/keeper_members.py
+++ b/pollenwalk/process/keeper_members.py
@@ -14,7 +14,7 @@
     """One keeper, as it registers itself in the store.
 
     Attributes:
-        name: name of the keeper's host.
+        name: name of the keeper, which is that of its host.
         address: `host:port` on which the keeper accepts connections.
         zone: availability zone of the keeper.
         retiring: whether the keeper accepts no new turns.
