--- a/pollenwalk/process/gateway_daemon.py
+++ b/pollenwalk/process/gateway_daemon.py
@@ -1,4 +1,4 @@
-"""Runs one gateway as a process until SIGTERM."""
+"""Runs one gateway as a process until SIGTERM or SIGINT."""
 
 import asyncio
 import random
@@ -26,16 +26,17 @@
 from pollenwalk.process.settings import Settings, read_settings
 from pollenwalk.process.signals import stop_on_signals
 
-# The load balancer checks readiness once a second and removes a gateway after
-# two failed checks.
-BALANCER_NOTICE_MS = 2500.0
+# Time from the stop signal until the load balancer sends no new callers: it checks
+# readiness once a second and removes a gateway after two failed checks.
+BALANCER_REMOVAL_MS = 2500.0
 # Part of the grace period that is reserved for closing the servers.
 CLOSE_RESERVE_MS = 700.0
 DRAIN_CHECK_INTERVAL_MS = 50.0
 OK = HTTPStatus.OK
 NOT_READY = HTTPStatus.SERVICE_UNAVAILABLE
-# Longer than any configured idle timeout, so that the gateway never closes a
-# connection that a caller may still use.
+# Idle timeout of callers' connections. It is longer than any other configured
+# idle timeout, so that the gateway never closes a connection that a caller may
+# still use.
 CALLER_KEEP_ALIVE_S = 120
 # Interval of checks whether the settings file has changed, as it may be changed
 # without a SIGHUP.
@@ -43,7 +44,7 @@
 
 
 def run_gateway(settings: Settings, path: Path) -> None:
-    """Run a gateway until SIGTERM.
+    """Run a gateway until SIGTERM or SIGINT.
 
     Raises:
         UserError: an address can't be bound.
@@ -68,16 +69,16 @@
         self.settings = settings
         self.path = path
         self.clock = LoopClock()
-        own = settings.section('gateway')
+        options = settings.section('gateway')
         self.store = PlatformStore(settings.section('store')['url'])
         self.gateway = Gateway(
             GatewaySettings(
-                own['name'],
-                own['zone'],
+                options['name'],
+                options['zone'],
                 settings.regions,
-                own['tolerated_losses'],
-                own['change_delay_ms'],
-                own['leave_notice_ms'],
+                options['tolerated_losses'],
+                options['change_delay_ms'],
+                options['leave_notice_ms'],
             ),
             self.store,
             TcpNetwork(),
@@ -92,17 +93,17 @@
         )
         self.caller_server = HttpServer(
             self.app,
-            *split_address(own['http']),
+            *split_address(options['http']),
             CALLER_KEEP_ALIVE_S,
         )
         self.readiness_server = HttpServer(
             self.readiness_app(),
-            *split_address(own['ready']),
+            *split_address(options['ready']),
         )
         self.metrics_page = metrics_server(
             self.gateway.metrics,
             self.refresh_metrics,
-            own['metrics'],
+            options['metrics'],
         )
 
     def readiness_app(self) -> Starlette:
@@ -120,16 +121,16 @@
         self.gateway.metrics.in_progress.set({}, self.app.in_progress)
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then finish the requests in progress."""
-        own = self.settings.section('gateway')
+        """Serve until SIGTERM or SIGINT, then finish the requests in progress."""
+        options = self.settings.section('gateway')
         stopped = stop_on_signals(self.reload)
-        logger.info('start', role='gateway', name=own['name'], zone=own['zone'])
+        logger.info('start', role='gateway', name=options['name'], zone=options['zone'])
         await self.gateway.start()
         for server in self.servers():
             await server.start()
         self.gateway.tasks.spawn(self.watch_settings(), 'watch_settings')
         await stopped.wait()
-        await self.drain(own['grace_s'] * MS_PER_SECOND)
+        await self.drain(options['grace_s'] * MS_PER_SECOND)
 
     def servers(self) -> tuple[HttpServer, ...]:
         """Return all servers, the one for callers first."""
@@ -138,15 +139,19 @@
     async def drain(self, grace_ms: float) -> None:
         """Finish the requests in progress within the grace period, then stop.
 
-        The servers accept requests until the load balancer has had time to
-        notice that the gateway is not ready.
+        Requests are still accepted at first, as the load balancer needs time to
+        notice that the gateway is not ready. Answers that begin from now on tell
+        the caller to close the connection.
+
+        Args:
+            grace_ms: time from the signal until the process must have stopped.
         """
         started_ms = self.clock.now_ms()
         logger.info('stopping', in_progress=self.app.in_progress)
         self.gateway.stopping = True
         self.app.close_connections = True
         deadline_at_ms = started_ms + max(grace_ms - CLOSE_RESERVE_MS, 0)
-        await self.clock.sleep_ms(min(BALANCER_NOTICE_MS, deadline_at_ms - started_ms))
+        await self.clock.sleep_ms(min(BALANCER_REMOVAL_MS, deadline_at_ms - started_ms))
         while self.app.in_progress and self.clock.now_ms() < deadline_at_ms:
             await self.clock.sleep_ms(DRAIN_CHECK_INTERVAL_MS)
         for server in self.servers():
@@ -166,7 +171,10 @@
                 self.reload()
 
     def reload(self) -> None:
-        """Read the settings again; invalid ones are ignored."""
+        """Read the settings again; invalid ones are ignored.
+
+        Only a change of the store's URL takes effect without a restart.
+        """
         try:
             settings = read_settings(self.path, 'gateway')
         except UserError as error:
--- a/pollenwalk/process/host_list.py
+++ b/pollenwalk/process/host_list.py
@@ -1,4 +1,7 @@
-"""Polls the platform's list of hosts, which serves only as a hint."""
+"""Polls the platform's list of hosts to learn which of them are leaving.
+
+The list may be out of date, so it is used only as a hint.
+"""
 
 from typing import Protocol
 
@@ -22,11 +25,11 @@
         """
 
 
-async def poll_host_list(hosts: HostList, fleet: Fleet, clock: Clock) -> None:
+async def poll_host_list(host_list: HostList, fleet: Fleet, clock: Clock) -> None:
     """Poll the list until cancelled, so that leaving hosts get no new calls."""
     while True:
         try:
-            fleet.update_leaving_addresses(await hosts.fetch_leaving())
+            fleet.update_leaving_addresses(await host_list.fetch_leaving())
         except ConnectionLost as error:
-            logger.debug('host_list_silent', reason=error.message)
+            logger.debug('host_list_unavailable', reason=error.message)
         await clock.sleep_ms(POLL_INTERVAL_MS)
--- a/pollenwalk/process/joining.py
+++ b/pollenwalk/process/joining.py
@@ -20,7 +20,8 @@
 # between regions.
 BATCH_TIMEOUT_MS = 1500.0
 FETCH_INTERVAL_MS = 200.0
-# A joining keeper replaces one that it has not reached within this time.
+# A keeper that has joined removes another one from which it can't fetch all records,
+# but not earlier than this long after it started to join.
 REPLACE_AFTER_MS = 3000.0
 
 
@@ -37,7 +38,7 @@
         self.fetched: set[str] = set()
 
     async def run(self) -> None:
-        """Fetch all records, then replace a keeper that can't be reached."""
+        """Fetch all records, then replace a keeper that could not be fetched from."""
         keeper = self.keeper
         started_ms = keeper.clock.now_ms()
         while not self.has_all_records():
@@ -80,7 +81,7 @@
         count = 0
         complete = True
         try:
-            async for batch in self.batches(peer):
+            async for batch in self.fetch_batches(peer):
                 complete = complete and batch.complete
                 count += await keeper.state.add_records(batch.records)
         except (PollenwalkError, TimeoutError) as error:
@@ -91,7 +92,7 @@
         logger.info('fetched', keeper=member.name, new=count, complete=complete)
         return complete
 
-    async def batches(self, peer: Peer) -> AsyncIterator[RecordBatch]:
+    async def fetch_batches(self, peer: Peer) -> AsyncIterator[RecordBatch]:
         """Yield the batches of records that a keeper sends.
 
         Raises:
@@ -108,16 +109,21 @@
     def lost_keepers(self) -> list[str]:
         """Return the names of the keepers whose copies may be lost.
 
-        They are the keepers that nothing was fetched from, and this one.
+        They are this keeper and those whose records have not all been fetched.
         """
         fetched = self.fetched
         names = [
-            one.name for one in self.keeper.other_members() if one.name not in fetched
+            member.name
+            for member in self.keeper.other_members()
+            if member.name not in fetched
         ]
         return [*names, self.keeper.settings.name]
 
     async def replace_lost(self) -> None:
-        """Remove one keeper that still can't be fetched from, if there is one."""
+        """Remove one keeper that can't be fetched from, if there is one.
+
+        It gives no answer, or its records are incomplete.
+        """
         for member in self.keeper.other_members():
             if member.name in self.fetched or await self.fetch(member):
                 continue
@@ -126,5 +132,5 @@
                 lost=member.name,
                 by=self.keeper.settings.name,
             )
-            await self.keeper.remove(member)
+            await self.keeper.remove_member(member)
             return
--- a/pollenwalk/process/keeper_group.py
+++ b/pollenwalk/process/keeper_group.py
@@ -1,8 +1,9 @@
-"""The keepers as a gateway uses them.
+"""Stores and finds records at the keepers, on behalf of a gateway.
 
 If f keepers may be lost at the same time, a turn is stored once it is on f + 1
 disks, and a turn does not exist if all keepers but f report that they don't
-have it. Budgets are decided with the answers of a majority of all keepers.
+have it. Budgets are decided with the answers of a majority of all keepers; only
+a turn that is far from its budget may begin with fewer.
 """
 
 import asyncio
@@ -34,8 +35,8 @@
 # Settlements are sent in batches at this interval. It is much shorter than the
 # second for which a finished turn may still count with its whole reservation.
 SETTLE_INTERVAL_MS = 30.0
-# Pause before a request is repeated that too few keepers answered: half of the
-# interval at which lost keepers are probed.
+# Pause before the retry of an operation that too few keepers acknowledged. It is
+# half of the interval at which lost keepers are probed.
 RETRY_INTERVAL_MS = 100.0
 
 Result = TypeVar('Result')
@@ -48,7 +49,7 @@
         cache: the turns that this gateway used last.
         retry_advisor: sets Retry-After of refusals because of unavailable
             keepers.
-        unsettled: settlements that will be sent with the next batch.
+        queued_settlements: settlements that will be sent with the next batch.
     """
 
     def __init__(
@@ -73,21 +74,21 @@
         self.tolerated_losses = tolerated_losses
         self.cache = TurnIndex(clock, CACHE_BYTES)
         self.retry_advisor = RetryAdvisor(clock)
-        self.unsettled: list[SettleTokens] = []
+        self.queued_settlements: list[SettleTokens] = []
 
     @property
     def required_copies(self) -> int:
-        """Return on how many disks a record must be."""
+        """Return how many keepers must store a turn."""
         return self.tolerated_losses + 1
 
-    async def ask_all(self, message: Any) -> AsyncIterator[Any]:
+    async def request_all(self, message: Any) -> AsyncIterator[Any]:
         """Send a message to all keepers and yield the answers as they arrive.
 
         Keepers that fail or don't answer in time are skipped. Requests that are
         still open when the caller stops iterating are cancelled.
         """
         pending = [
-            asyncio.ensure_future(self.links.ask(link, message))
+            asyncio.ensure_future(self.links.request(link, message))
             for link in self.links.ordered()
         ]
         try:
@@ -119,14 +120,14 @@
         return replicas
 
     async def retry_until_acknowledged(
-        self, work: Callable[[], Awaitable[Result]]
+        self, operation: Callable[[], Awaitable[Result]]
     ) -> Result:
         """Repeat an operation until enough keepers have acknowledged it.
 
         The repetition ends by cancellation at the deadline of the caller.
 
         Args:
-            work: the operation, which must be idempotent.
+            operation: the operation, which must be idempotent.
 
         Raises:
             Refusal: the operation was refused for another reason than
@@ -134,7 +135,7 @@
         """
         while True:
             try:
-                return await work()
+                return await operation()
             except Refusal as refusal:
                 if refusal.code != RefusalCode.KEEPERS_UNAVAILABLE:
                     raise
@@ -144,7 +145,8 @@
         """Return a turn and all its predecessors, the oldest first.
 
         Raises:
-            Refusal: a turn does not exist, or too few keepers answer to tell.
+            Refusal: a turn does not exist, or too few keepers answered to know
+                whether it does.
         """
         found = self.cache.use_chain(turn)
         turns = found.turns
@@ -156,30 +158,32 @@
         return turns
 
     async def find_chain(self, turn: str) -> Chain:
-        """Return the part of a chain that the first keeper with the turn has.
+        """Return the part of a turn's chain that one keeper has.
 
-        The keepers are asked one after the other, the nearest first.
+        The keepers are asked one after the other, the nearest first, until one
+        has the turn.
 
         Raises:
-            Refusal: the turn does not exist, or too few keepers answer to tell.
+            Refusal: the turn does not exist, or too few keepers answered to
+                know whether it does.
         """
         links = self.links.ordered()
         without_turn = 0
         for link in links:
-            found = await self.ask_for_chain(link, turn)
+            found = await self.request_chain(link, turn)
             if found is not None and found.turns:
                 return found
             without_turn += int(found is not None and found.complete)
         if links and without_turn >= len(links) - self.tolerated_losses:
-            raise Refusal(RefusalCode.UNKNOWN_TURN, f'no turn {turn}')
+            raise Refusal(RefusalCode.UNKNOWN_TURN, f'turn {turn} does not exist')
         raise keepers_unavailable(
             f'only {without_turn} of {len(links)} keepers confirm that there is no '
             f'turn {turn}',
         )
 
-    async def ask_for_chain(self, link: KeeperLink, turn: str) -> Chain | None:
+    async def request_chain(self, link: KeeperLink, turn: str) -> Chain | None:
         """Ask one keeper for a turn's chain; return None if it does not answer."""
-        return await answer_or_none(self.links.ask(link, FindChain(turn)))
+        return await answer_or_none(self.links.request(link, FindChain(turn)))
 
     async def read_prefix(self, prefix: str) -> Changes | None:
         """List a prefix of the store through the nearest keeper that reaches it.
@@ -188,7 +192,7 @@
             The objects; None if no keeper reaches the store.
         """
         for link in self.links.ordered():
-            pending = self.links.ask(link, ReadPrefix(prefix))
+            pending = self.links.request(link, ReadPrefix(prefix))
             listing: Listing | None = await answer_or_none(pending)
             if listing is not None:
                 logger.info(
@@ -203,8 +207,8 @@
 
     def settle(self, message: SettleTokens) -> None:
         """Queue a settlement, which is sent to all keepers in a batch."""
-        self.unsettled.append(message)
-        if len(self.unsettled) == 1:
+        self.queued_settlements.append(message)
+        if len(self.queued_settlements) == 1:
             self.tasks.spawn(self.send_settlements(), 'settle')
 
     async def send_settlements(self) -> None:
@@ -214,14 +218,17 @@
         reservation of the turn.
         """
         await self.clock.sleep_ms(SETTLE_INTERVAL_MS)
-        message = Settlements(self.unsettled)
-        self.unsettled = []
-        pending = [self.links.ask(link, message) for link in self.links.ordered()]
+        message = Settlements(self.queued_settlements)
+        self.queued_settlements = []
+        pending = [self.links.request(link, message) for link in self.links.ordered()]
         await asyncio.gather(*map(answer_or_none, pending))
 
 
 async def answer_or_none(pending: Any) -> Any:
-    """Return an answer, or None after a failure, which is logged by its source."""
+    """Return an answer, or None after a failure.
+
+    `KeeperLinks` has logged the loss of a keeper; a refusal by one isn't logged.
+    """
     try:
         return await pending
     except PollenwalkError:
--- a/pollenwalk/process/record_log.py
+++ b/pollenwalk/process/record_log.py
@@ -14,6 +14,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple, Protocol
 
+# Length in bytes and CRC-32 of the record that follows.
 FRAME_HEADER = struct.Struct('<II')
 SEGMENT_PREFIX = 'segment-'
 SEGMENT_SUFFIX = '.log'
@@ -79,7 +80,9 @@
         descriptor: file descriptor of that segment; -1 while there is none.
         complete: whether the folder has the marker file of a complete disk.
         pending: the records that are not written yet.
-        executor: the only thread that writes to the disk.
+        wake: set when a record has been added to `pending`.
+        executor: the only thread that writes and deletes segments, once the
+            first one has been begun.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -152,7 +155,7 @@
     async def run_in_executor(
         self, function: Callable[..., None], *arguments: Any
     ) -> None:
-        """Run a function in the only thread that writes to the disk."""
+        """Run a function in the thread that writes and deletes segments."""
         loop = asyncio.get_running_loop()
         await loop.run_in_executor(self.executor, function, *arguments)
 
@@ -175,10 +178,12 @@
             self.wake.clear()
             batch = self.pending
             self.pending = []
-            await self.run_in_executor(self.write, b''.join(one.frame for one in batch))
-            for one in batch:
-                if not one.synced.done():
-                    one.synced.set_result(None)
+            await self.run_in_executor(
+                self.write, b''.join(record.frame for record in batch)
+            )
+            for record in batch:
+                if not record.synced.done():
+                    record.synced.set_result(None)
 
     def write(self, payload: bytes) -> None:
         """Append bytes to the current segment and sync it."""
@@ -203,6 +208,8 @@
         length, checksum = FRAME_HEADER.unpack_from(payload, position)
         position += FRAME_HEADER.size
         record = payload[position : position + length]
+        # Zero bytes would otherwise pass as empty records: the CRC-32 of no bytes
+        # is 0.
         if len(record) < length or zlib.crc32(record) != checksum or not length:
             return
         position += length
--- a/pollenwalk/process/retirement.py
+++ b/pollenwalk/process/retirement.py
@@ -28,14 +28,14 @@
     TurnRecord,
 )
 
-# Longest duration of a watch of the requests. The shortest time given for a
-# retirement is several seconds, and a stalled watch must end well before.
+# Longest duration of a watch of the requests. A keeper is given at least
+# several seconds to retire, and a stalled watch must end well before.
 WATCH_WAIT_MS = 2500
 RETRY_INTERVAL_MS = 200.0
 
 
 class StatusStore(ObjectStore, Protocol):
-    """A store in which a process can write the status of objects of others."""
+    """A store in which a process can write the status of others' objects."""
 
     async def report(self, key: str, status: dict[str, Any]) -> None:
         """Write the status of an object.
@@ -92,12 +92,16 @@
         while not await self.replicate_elsewhere():
             await keeper.clock.sleep_ms(RETRY_INTERVAL_MS)
         keeper.retired = True
-        await keeper.remove(keeper.own_member)
+        await keeper.remove_member(keeper.own_member)
         await self.report(True)
         logger.info('retired', turns=len(keeper.state.turns.records))
 
     async def report(self, done: bool) -> None:
-        """Write the status, however long the store is unavailable."""
+        """Write the status of the request; retry until the store answers.
+
+        Args:
+            done: whether the retirement is completed.
+        """
         status = retirement_status(done)
         await self.keeper.retry_until_acknowledged(
             lambda: self.store.report(self.key, status)
@@ -107,9 +111,11 @@
         """Copy all records to enough other keepers.
 
         Returns:
-            Whether every record was copied; if not, it has to be tried again.
+            Whether every record was copied; otherwise the caller retries.
         """
-        others = [one for one in self.keeper.other_members() if not one.retiring]
+        others = [
+            member for member in self.keeper.other_members() if not member.retiring
+        ]
         if len(others) < self.keeper.required_copies:
             logger.warning('retirement_waits', others=len(others))
             return False
@@ -137,9 +143,11 @@
             record._replace(replicas=self.choose_replicas(record, others))
             for record in list(self.keeper.state.turns.records.values())
         )
-        records = {one.turn: one for one in updated if member.name in one.replicas}
+        records = {
+            record.turn: record for record in updated if member.name in record.replicas
+        }
         link = self.keeper.links.link(member)
-        missing: Missing = await self.keeper.links.ask(
+        missing: Missing = await self.keeper.links.request(
             link,
             FindMissing(list(records)),
         )
@@ -151,7 +159,7 @@
 
         Its present replicas among `others` are preferred, then the first others.
         """
-        names = [one.name for one in others]
+        names = [member.name for member in others]
         kept = [name for name in names if name in record.replicas]
         added = [name for name in names if name not in record.replicas]
         return [*kept, *added][: self.keeper.required_copies]
@@ -160,4 +168,4 @@
         """Send encoded records to another keeper, in batches."""
         link = self.keeper.links.link(member)
         for batch in batched(records):
-            await self.keeper.links.ask(link, PushRecords(batch))
+            await self.keeper.links.request(link, PushRecords(batch))
