--- a/pollenwalk/request/call_sender.py
+++ b/pollenwalk/request/call_sender.py
@@ -26,7 +26,7 @@
 # Share of the route's target time during which hosts that have all refused a call
 # are asked again. A caller that is refused after it can still retry and be served
 # on time.
-REFUSED_HOLD_SHARE = 0.25
+HOST_RETRY_SHARE = 0.25
 # Pause before hosts that have all refused a call are asked again.
 HOST_RETRY_INTERVAL_MS = 25.0
 # Retry-After of calls that no host accepts: about one service time.
@@ -122,11 +122,11 @@
         route = self.call.route
         return route.idempotent and self.runs < route.max_attempts
 
-    async def open_exchange(self, last_event: str = '') -> Exchange:
+    async def open_exchange(self, last_event_id: str = '') -> Exchange:
         """Send the call until a host begins to answer, and return the exchange.
 
         Args:
-            last_event: id of the event after which a stream is to be resumed;
+            last_event_id: id of the event after which a stream is to be resumed;
                 empty to start from the beginning.
 
         Raises:
@@ -136,7 +136,7 @@
         while self.may_send():
             state = await self.choose_host()
             try:
-                return await self.send_to_host(state, last_event)
+                return await self.send_to_host(state, last_event_id)
             except NotSent as error:
                 self.handle_not_run(state, error.message)
             except BrokenAnswer as error:
@@ -157,7 +157,7 @@
         """
         clock = self.context.clock
         target_ms = self.call.route.target_ms
-        give_up_at_ms = self.call.request.arrived_ms + target_ms * REFUSED_HOLD_SHARE
+        give_up_at_ms = self.call.request.arrived_ms + target_ms * HOST_RETRY_SHARE
         while True:
             state = self.context.call_placer.choose_host(
                 self.call, self.cost, self.tried_hosts
@@ -187,7 +187,7 @@
             retry_after_ms=RETRY_AFTER_MS,
         )
 
-    async def send_to_host(self, state: HostState, last_event: str) -> Exchange:
+    async def send_to_host(self, state: HostState, last_event_id: str) -> Exchange:
         """Send the call to one host and wait for the head of its answer.
 
         Raises:
@@ -198,19 +198,19 @@
         self.found_no_free_slot = state.load(self.sent_ms) >= state.registration.slots
         state.in_flight += 1
         try:
-            link = await self.context.pool.acquire(state.registration)
+            connection = await self.context.pool.acquire(state.registration)
         except BaseException:
             state.in_flight -= 1
             raise
-        exchange = Exchange(self.context.pool, state, link)
+        exchange = Exchange(self.context.pool, state, connection)
         try:
-            await self.send_request(exchange, last_event)
+            await self.send_request(exchange, last_event_id)
         except BaseException:
             exchange.close()
             raise
         return exchange
 
-    async def send_request(self, exchange: Exchange, last_event: str) -> None:
+    async def send_request(self, exchange: Exchange, last_event_id: str) -> None:
         """Send the request on one connection and read the head of the answer.
 
         Raises:
@@ -221,14 +221,14 @@
         request = self.call.request
         state = exchange.state
         self.log_send(state)
-        await exchange.link.send(
+        await exchange.connection.send(
             request.method,
             request.target,
-            self.build_headers(state, last_event),
+            self.build_headers(state, last_event_id),
             self.body,
         )
         self.runs += 1
-        head = await exchange.link.read_head(self.call.id)
+        head = await exchange.connection.read_head(self.call.id)
         exchange.head = head
         if head.load is not None:
             state.record_load(head.load, self.context.clock.now_ms())
@@ -253,13 +253,13 @@
             version=self.call.version,
         )
 
-    def build_headers(self, state: HostState, last_event: str) -> Headers:
+    def build_headers(self, state: HostState, last_event_id: str) -> Headers:
         """Return the caller's headers with those added for one host."""
         remaining_ms = self.call.remaining_ms(self.context.clock.now_ms())
         added = added_headers(state.registration.id, remaining_ms, None)
         request_headers = self.call.request.headers
-        if last_event:
-            resume = resume_header(last_event)
+        if last_event_id:
+            resume = resume_header(last_event_id)
             request_headers = [one for one in request_headers if one[0] != resume[0]]
             added.append(resume)
         return [*request_headers, *added]
--- a/pollenwalk/request/exchange.py
+++ b/pollenwalk/request/exchange.py
@@ -9,7 +9,7 @@
 from pollenwalk.process.host_table import HostState
 from pollenwalk.request.http_messages import AnswerHead
 
-SUCCESSES = range(HTTPStatus.OK, HTTPStatus.MULTIPLE_CHOICES)
+SUCCESS_STATUSES = range(HTTPStatus.OK, HTTPStatus.MULTIPLE_CHOICES)
 
 
 class Exchange:
@@ -24,12 +24,12 @@
     """
 
     def __init__(
-        self, pool: ConnectionPool, state: HostState, link: UpstreamConnection
+        self, pool: ConnectionPool, state: HostState, connection: UpstreamConnection
     ) -> None:
-        """Use `link`, taken from `pool`, for a call at the host of `state`."""
+        """Use `connection`, taken from `pool`, for a call at the host of `state`."""
         self.pool = pool
         self.state = state
-        self.link = link
+        self.connection = connection
         self.head = AnswerHead(0, [])
         self.complete = False
         self.closed = False
@@ -57,14 +57,14 @@
         self.closed = True
         self.state.in_flight -= 1
         if self.complete:
-            self.pool.release(self.state.registration, self.link)
+            self.pool.release(self.state.registration, self.connection)
         else:
-            self.link.abort()
+            self.connection.abort()
 
     @property
     def succeeded(self) -> bool:
         """Return whether the answer's status is a success."""
-        return self.head.status in SUCCESSES
+        return self.head.status in SUCCESS_STATUSES
 
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yield the body in chunks as they arrive.
@@ -72,7 +72,7 @@
         Raises:
             BrokenAnswer: the answer broke off.
         """
-        async for chunk in self.link.chunks():
+        async for chunk in self.connection.chunks():
             yield chunk
         self.complete = True
 
--- a/pollenwalk/request/streaming.py
+++ b/pollenwalk/request/streaming.py
@@ -99,7 +99,7 @@
     """Forwards the stream of one call to its caller.
 
     Attributes:
-        last_event: id of the last event sent to the caller; empty for none.
+        last_event_id: id of the last event sent to the caller; empty for none.
     """
 
     def __init__(
@@ -110,7 +110,7 @@
         self.call = call
         self.turn = turn
         self.reply = reply
-        self.last_event = ''
+        self.last_event_id = ''
 
     async def run(self) -> None:
         """Forward the stream; if it breaks off, resume it at another host.
@@ -120,8 +120,8 @@
             Refusal: no host began to answer, or the turn may not go on.
         """
         exchange = await self.sender.open_exchange()
-        while not await self.forward_answer(exchange):
-            exchange = await self.sender.open_exchange(self.last_event)
+        while not await self.try_forward_answer(exchange):
+            exchange = await self.sender.open_exchange(self.last_event_id)
             self.check_resumed_status(exchange)
         if exchange.succeeded:
             self.sender.record_run_time()
@@ -136,7 +136,7 @@
             exchange.close()
             raise BrokenAnswer(f'resumed with status {exchange.head.status}')
 
-    async def forward_answer(self, exchange: Exchange) -> bool:
+    async def try_forward_answer(self, exchange: Exchange) -> bool:
         """Forward one host's answer to its end.
 
         Returns:
@@ -147,7 +147,7 @@
         """
         try:
             with exchange:
-                await self.forward_exchange(exchange)
+                await self.forward_answer(exchange)
         except BrokenAnswer as error:
             self.sender.handle_broken_answer(exchange.state, error.message)
             if self.sender.may_send():
@@ -156,7 +156,7 @@
         exchange.state.record_success()
         return True
 
-    async def forward_exchange(self, exchange: Exchange) -> None:
+    async def forward_answer(self, exchange: Exchange) -> None:
         """Forward a stream by events, or an unsuccessful answer in one piece."""
         if not exchange.succeeded:
             body = await exchange.body()
@@ -178,7 +178,7 @@
         await self.turn.before_event(event)
         await self.start_reply(exchange)
         await self.reply.write(event.raw)
-        self.last_event = event.id or self.last_event
+        self.last_event_id = event.id or self.last_event_id
 
     async def start_reply(self, exchange: Exchange) -> None:
         """Send status and headers to the caller unless they are sent already."""
