--- a/pollenwalk/request/event_stream.py
+++ b/pollenwalk/request/event_stream.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-BLANK_LINES = (b'\n\n', b'\r\n\r\n')
+EVENT_ENDS = (b'\n\n', b'\r\n\r\n')
 
 
 class Event(NamedTuple):
@@ -45,9 +45,9 @@
     def end_of_event(self) -> int:
         """Return where the first event ends, or 0 if it is incomplete."""
         ends = (
-            position + len(blank)
-            for blank in BLANK_LINES
-            if (position := self.incomplete.find(blank)) >= 0
+            position + len(event_end)
+            for event_end in EVENT_ENDS
+            if (position := self.incomplete.find(event_end)) >= 0
         )
         return min(ends, default=0)
 
--- a/pollenwalk/request/program_turn.py
+++ b/pollenwalk/request/program_turn.py
@@ -89,8 +89,8 @@
         """
         if event.payload is None:
             return
-        if self.reservation is not None and self.reservation.holds_events:
-            await self.await_after_start(self.reservation.wait_until_recorded())
+        if self.reservation is not None and self.reservation.must_delay_events:
+            await self.await_for_running_turn(self.reservation.wait_until_recorded())
         self.output.extend((event.payload, b'\n'))
         self.tokens += self.call.tokens_per_event
 
@@ -101,11 +101,11 @@
             Refusal: the budget is spent; the turn has run.
         """
         if self.reservation is not None:
-            await self.await_after_start(self.reservation.wait_until_recorded())
+            await self.await_for_running_turn(self.reservation.wait_until_recorded())
         if self.call.route.keeps_history:
             await self.store_turn()
 
-    async def await_after_start(self, work: Awaitable[Any]) -> Any:
+    async def await_for_running_turn(self, work: Awaitable[Any]) -> Any:
         """Wait for `work` on behalf of a turn that has begun to run.
 
         Raises:
@@ -134,7 +134,7 @@
         storing = self.group.retry_until_acknowledged(
             lambda: self.group.store_turn(record)
         )
-        replicas = await self.await_after_start(storing)
+        replicas = await self.await_for_running_turn(storing)
         took_ms = self.group.clock.now_ms() - started_ms
         self.metrics.keep_seconds.observe({}, took_ms / MS_PER_SECOND)
         logger.info(
--- a/pollenwalk/request/reservation.py
+++ b/pollenwalk/request/reservation.py
@@ -112,7 +112,7 @@
         Raises:
             Refusal: the budget is spent, or too few keepers answered.
         """
-        begun_ms = self.group.clock.now_ms()
+        started_ms = self.group.clock.now_ms()
         known_entries = await self.ask_majority()
         decision = self.decide(known_entries)
         exhausted = decision.settled_tokens + self.max_tokens > self.budget
@@ -121,7 +121,7 @@
             # is left out where settled turns alone use up the budget.
             known_entries.extend(await self.ask_majority())
             decision = self.decide(known_entries)
-        took_ms = self.group.clock.now_ms() - begun_ms
+        took_ms = self.group.clock.now_ms() - started_ms
         self.metrics.reserve_seconds.observe({}, took_ms / MS_PER_SECOND)
         logger.info(
             'budget',
@@ -146,15 +146,15 @@
             Refusal: too few keepers answered.
         """
         known_entries: list[list[TokenEntry]] = []
-        copies_made = 0
+        stored_copies = 0
         # Read only once, since the list of keepers may change while they answer.
         majority = self.group.links.majority
         async for spent in self.group.ask_all(self.message):
-            copies_made += 1
+            stored_copies += 1
             self.add_answer(spent, known_entries)
             if (
                 len(known_entries) >= majority
-                and copies_made >= self.group.required_copies
+                and stored_copies >= self.group.required_copies
             ):
                 return known_entries
         raise keepers_unavailable(
@@ -196,7 +196,7 @@
         )
 
     @property
-    def holds_events(self) -> bool:
+    def must_delay_events(self) -> bool:
         """Return whether the turn's events must wait for the recording.
 
         They also wait after a failure: `wait_until_recorded` then raises it or
