--- a/pollenwalk/request/call_sender.py
+++ b/pollenwalk/request/call_sender.py
@@ -23,18 +23,19 @@
 from pollenwalk.request.exchange import Exchange
 from pollenwalk.request.http_messages import Headers
 
-# Share of the route's target time during which hosts that have all refused a call
-# are asked again. A caller that is refused after it can still retry and be served
-# on time.
+# If all hosts have been tried in vain, they are tried again until this share of the
+# route's target time has passed since the call arrived. A caller that is refused
+# then can still retry and be served on time.
 HOST_RETRY_SHARE = 0.25
-# Pause before hosts that have all refused a call are asked again.
+# Pause before all hosts are tried again.
 HOST_RETRY_INTERVAL_MS = 25.0
-# Retry-After of calls that no host accepts: about one service time.
+# Retry-After in the refusal of a call that no host accepts. No better estimate is
+# known, so it is about one service time.
 RETRY_AFTER_MS = 200
 
 
 class ForwardingContext(NamedTuple):
-    """The parts of a gateway that forwarding calls needs.
+    """The parts of a gateway that are used to forward calls.
 
     Attributes:
         clock: the process's clock.
@@ -56,11 +57,13 @@
 
     Attributes:
         cost: expected cost of the call, for the choice of a host.
-        runs: number of hosts that have run the call or may have.
-        sent_ms: when the call was last sent, on the process's clock.
-        found_no_free_slot: whether the last host seemed to have no free slot.
-        tried_hosts: ids of the hosts tried before; emptied when all of them are to
-            be tried again.
+        runs: how many times a host has run the call or may have run it.
+        sent_ms: time on the process's clock at which the last send began, before
+            a connection was acquired.
+        found_no_free_slot: whether the last host was estimated to have no free
+            slot.
+        tried_hosts: ids of the hosts that must not be chosen; emptied when all
+            hosts may be tried again.
     """
 
     def __init__(self, context: ForwardingContext, call: Call, body: bytes) -> None:
@@ -105,7 +108,7 @@
         )
 
     def record_run_time(self) -> None:
-        """Record how long the call has run, once its answer is complete.
+        """Record the time since the last send, once the answer is complete.
 
         A call that may have waited for a slot is left out, so that run times do
         not include waits.
@@ -116,7 +119,7 @@
         self.context.call_placer.record_run_time(self.call, run_ms)
 
     def may_send(self) -> bool:
-        """Return whether the call may be sent to one more host."""
+        """Return whether the call may be sent once more."""
         if not self.runs:
             return True
         route = self.call.route
@@ -143,14 +146,15 @@
                 self.handle_broken_answer(state, error.message)
         raise Refusal(
             RefusalCode.UPSTREAM_FAILED,
-            'the upstream host broke off its answer',
+            'the upstream host gave no complete and valid answer',
             Outcome.UNKNOWN,
         )
 
     async def choose_host(self) -> HostState:
-        """Choose the host for the next try.
+        """Choose the host for the next send.
 
-        Once all hosts have been tried, they are tried again for a limited time.
+        Once all hosts have been tried, they are tried again at intervals of
+        HOST_RETRY_INTERVAL_MS, within HOST_RETRY_SHARE of the target time.
 
         Raises:
             Refusal: no host accepts the call.
@@ -214,9 +218,10 @@
         """Send the request on one connection and read the head of the answer.
 
         Raises:
-            NotSent: the connection had ended, or the host refused the request.
-            BrokenAnswer: the answer broke off, is not signed by a host, or has an
-                encoded body.
+            NotSent: the connection ended before the request was sent, or the
+                host refused the request.
+            BrokenAnswer: the answer broke off, is not valid HTTP, has no host's
+                signature, or has an encoded body.
         """
         request = self.call.request
         state = exchange.state
@@ -237,11 +242,13 @@
             await exchange.body()
             raise NotSent(f'refused with status {head.status}')
         if not head.signed or head.encoded:
-            raise BrokenAnswer(f'status {head.status} of an unsigned or encoded answer')
+            raise BrokenAnswer(
+                f'status {head.status}, but the answer is unsigned or encoded'
+            )
         self.context.metrics.count_send('answered')
 
     def log_send(self, state: HostState) -> None:
-        """Log the chosen host and the load that it was chosen by."""
+        """Log the chosen host and its estimated load, just before the send."""
         now_ms = self.context.clock.now_ms()
         logger.info(
             'sent',
@@ -254,7 +261,12 @@
         )
 
     def build_headers(self, state: HostState, last_event_id: str) -> Headers:
-        """Return the caller's headers with those added for one host."""
+        """Return the caller's headers with those added for one host.
+
+        Args:
+            state: the host.
+            last_event_id: if not empty, replaces the caller's Last-Event-ID.
+        """
         remaining_ms = self.call.remaining_ms(self.context.clock.now_ms())
         added = added_headers(state.registration.id, remaining_ms, None)
         request_headers = self.call.request.headers
@@ -265,7 +277,10 @@
         return [*request_headers, *added]
 
     def handle_not_run(self, state: HostState, reason: str) -> None:
-        """Exclude a host that did not run the call."""
+        """Suspect a host that did not run the call and exclude it.
+
+        It is excluded until all hosts may be tried again.
+        """
         self.tried_hosts.add(state.registration.id)
         self.context.call_placer.record_rejection(state, reason)
         self.context.metrics.count_send('not_run')
@@ -277,7 +292,11 @@
         )
 
     def handle_broken_answer(self, state: HostState, reason: str) -> None:
-        """Exclude a host that may have run the call but gave no valid answer."""
+        """Suspect and exclude a host that may have run the call.
+
+        It gave no complete and valid answer. It is excluded until all hosts may
+        be tried again.
+        """
         self.tried_hosts.add(state.registration.id)
         state.record_failure(self.context.clock.now_ms())
         self.context.metrics.count_send('broken')
--- a/pollenwalk/request/event_stream.py
+++ b/pollenwalk/request/event_stream.py
@@ -3,6 +3,8 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
+# The end of an event's last line and the blank line after it. Lines that end with
+# CR alone are not recognised.
 EVENT_ENDS = (b'\n\n', b'\r\n\r\n')
 
 
@@ -28,7 +30,7 @@
     """
 
     def __init__(self) -> None:
-        """Start without bytes."""
+        """Create a splitter that has not received any bytes."""
         self.incomplete = b''
 
     def feed(self, chunk: bytes) -> Iterator[Event]:
@@ -43,7 +45,10 @@
             yield parse_event(raw)
 
     def end_of_event(self) -> int:
-        """Return where the first event ends, or 0 if it is incomplete."""
+        """Return the length of the first event in `incomplete`.
+
+        0 if there is no complete event.
+        """
         ends = (
             position + len(event_end)
             for event_end in EVENT_ENDS
@@ -53,7 +58,7 @@
 
 
 def parse_event(raw: bytes) -> Event:
-    """Decode the fields of one event."""
+    """Decode the id and data fields of one event; ignore its other fields."""
     event_id = ''
     lines: list[bytes] = []
     for line in raw.splitlines():
--- a/pollenwalk/request/exchange.py
+++ b/pollenwalk/request/exchange.py
@@ -13,20 +13,32 @@
 
 
 class Exchange:
-    """A connection to a host while it answers one call.
+    """One request to an upstream host and its answer.
 
     As a context manager it gives the connection back to the pool if the answer
     was read to its end, and closes it otherwise.
 
     Attributes:
-        head: status and headers of the answer, once received.
+        state: the estimate of the host; it counts the call as in flight until the
+            exchange is closed.
+        connection: carries the request and the answer.
+        head: status and headers of the answer; until they are received, status 0
+            and no headers.
         complete: whether the answer was read to its end.
+        closed: whether the exchange has given up its connection.
     """
 
     def __init__(
         self, pool: ConnectionPool, state: HostState, connection: UpstreamConnection
     ) -> None:
-        """Use `connection`, taken from `pool`, for a call at the host of `state`."""
+        """Create an exchange on a connection to a host.
+
+        Args:
+            pool: the pool that the connection was acquired from.
+            state: the estimate of the host, which already counts the call as in
+                flight.
+            connection: the connection.
+        """
         self.pool = pool
         self.state = state
         self.connection = connection
@@ -48,9 +60,10 @@
         self.close()
 
     def close(self) -> None:
-        """Reuse or close the connection; the call no longer counts as in flight.
+        """Give up the connection and stop counting the call as in flight.
 
-        Only a connection whose answer was read to its end is reused.
+        The connection is released to the pool if the answer was read to its end,
+        and closed otherwise.
         """
         if self.closed:
             return
--- a/pollenwalk/request/http_messages.py
+++ b/pollenwalk/request/http_messages.py
@@ -22,16 +22,18 @@
 
     Attributes:
         id: id of the request; a caller uses a new one for each attempt.
-        deadline_ms: how long the caller waits; None if not stated.
+        deadline_ms: how long the caller waits after the request's arrival; None
+            if not stated.
         program: id of the program that the request belongs to; empty for none.
-        session: id of the sequence of turns within the program.
+        session: id of the sequence of turns within the program; empty for none.
         program_remaining_ms: time until the whole program should be done; None
             if not stated.
         budget: tokens that all turns of the program may generate; None if not
             stated.
-        prompt_tokens: tokens of the whole prompt.
-        max_tokens: the most tokens that this turn generates.
-        expected_tokens: the caller's estimate of the tokens generated.
+        prompt_tokens: tokens of the whole prompt; 0 if not stated.
+        max_tokens: the most tokens that this turn may generate; 0 if not stated.
+        expected_tokens: the caller's estimate of the tokens generated; 0 if not
+            stated.
         prompt_parts: parts of the prompt in order.
         previous: id of the turn that this one continues; empty for none.
         resumes: whether the request resumes an interrupted stream.
@@ -58,8 +60,8 @@
         method: HTTP method as sent.
         target: path and query as sent, byte for byte.
         path: path without the query, for finding the route.
-        host: host name that the caller asked for.
-        headers: headers to forward, without those of one connection.
+        host: value of the Host header; empty if there is none.
+        headers: headers to forward, without hop-by-hop and reserved ones.
         body: the whole body.
         metadata: what the headers say about the request.
         arrived_ms: when the request arrived, on the process's clock.
@@ -80,16 +82,18 @@
 
     Attributes:
         status: HTTP status.
-        headers: headers to forward, without those of one connection.
+        headers: headers to forward, without hop-by-hop ones.
         request: id of the request that the answer is for; empty if not stated.
-        signed: whether the answer has a host's signature.
-        refused: whether the host states that it did not run the request.
-        encoded: whether the body has a content encoding, which was not asked for.
+        signed: whether the answer has the header with a host's signature, whose
+            value is not checked.
+        refused: whether the host states that it did not run the request, or that
+            the request was meant for another host.
+        encoded: whether the body has a content encoding; a plain one is expected.
         load: calls running at the host, calls waiting there, and its slots; None
             if not stated.
         keep_alive_ms: how long the connection may stay idle; None if not stated.
-        retry_after_ms: after how long the host asks to be tried again; None if
-            not stated.
+        retry_after_ms: time after which the host may be tried again, as it states;
+            None if not stated.
     """
 
     status: int
--- a/pollenwalk/request/program_turn.py
+++ b/pollenwalk/request/program_turn.py
@@ -1,4 +1,4 @@
-"""A turn of a program: its prompt, its budget and its record."""
+"""A turn of a program: its prompt, its token reservation and its record."""
 
 from collections.abc import Awaitable
 from typing import Any
@@ -17,7 +17,14 @@
 
 
 class ProgramTurn:
-    """Implements `Turn` for a turn that belongs to a program."""
+    """Implements `Turn` for a turn that belongs to a program.
+
+    Attributes:
+        output: the data of the events so far, each followed by a line feed.
+        tokens: number of tokens that these events count for.
+        reservation: the turn's reservation; None before `prepare` and for
+            requests without a token budget.
+    """
 
     def __init__(
         self,
@@ -30,7 +37,7 @@
         Args:
             group: the keepers that hold the program's turns and budget.
             call: the call that runs the turn.
-            metrics: where the times of keepers' answers are observed.
+            metrics: records how long the reservation and the storing take.
         """
         self.group = group
         self.metrics = metrics
@@ -41,15 +48,20 @@
 
     @property
     def begins_program(self) -> bool:
-        """Return whether no other turn of the program has used or reserved tokens."""
+        """Return whether no other turn of the program has used or reserved tokens.
+
+        False if the request has no token budget, as other turns are not known
+        then.
+        """
         return self.reservation is not None and not self.reservation.other_tokens
 
     async def prepare(self) -> bytes:
         """Reserve the turn's tokens and return the request body with the prompt.
 
         Raises:
-            Refusal: the budget is spent, a previous turn is unknown, or too few
-                keepers answered; with the time of a retry where one is advised.
+            Refusal: the budget does not cover the turn, a previous turn is
+                unknown, or too few keepers answered. `RetryAdvisor` sets
+                Retry-After if too few keepers answered.
         """
         try:
             return await self.prepare_within_budget()
@@ -58,7 +70,7 @@
             raise self.group.retry_advisor.advise(refusal, program) from refusal
 
     async def prepare_within_budget(self) -> bytes:
-        """Reserve the turn's tokens and build the prompt at the same time."""
+        """Build the prompt and meanwhile reserve tokens if there is a budget."""
         if self.call.request.metadata.budget is not None:
             self.reservation = Reservation(
                 self.group,
@@ -71,7 +83,11 @@
         return body
 
     async def build_prompt(self) -> bytes:
-        """Return the inputs and outputs of the previous turns and the new input."""
+        """Return the inputs and outputs of the previous turns and the new input.
+
+        On routes that keep no history, and for the first turn of a chain, it is
+        the new input alone.
+        """
         request = self.call.request
         if not self.call.route.keeps_history or not request.metadata.previous:
             return request.body
@@ -81,11 +97,12 @@
     async def before_event(self, event: Event) -> None:
         """Wait until an event's tokens may be sent to the caller, and count them.
 
-        Far from the budget, one keeper's answer is enough to begin. The end of the
-        stream waits for the other keepers, which usually answer long before it.
+        Far from the budget, one keeper's answer can be enough to begin. The end of
+        the stream waits for a majority of the keepers, which usually have answered
+        long before it. Events without data are neither delayed nor counted.
 
         Raises:
-            Refusal: the budget is spent; the turn has run.
+            Refusal: the budget does not cover the turn, whose outcome is unknown.
         """
         if event.payload is None:
             return
@@ -95,10 +112,10 @@
         self.tokens += self.call.tokens_per_event
 
     async def before_end(self) -> None:
-        """Wait until the turn is counted and stored before the stream is ended.
+        """Wait until the reservation is recorded and the turn is stored.
 
         Raises:
-            Refusal: the budget is spent; the turn has run.
+            Refusal: the budget does not cover the turn, whose outcome is unknown.
         """
         if self.reservation is not None:
             await self.await_for_running_turn(self.reservation.wait_until_recorded())
@@ -117,7 +134,11 @@
             raise with_unknown_outcome(refusal) from refusal
 
     async def store_turn(self) -> None:
-        """Store the turn at enough keepers; retry until they confirm it."""
+        """Store the turn at enough keepers.
+
+        It is sent again until they have acknowledged it or the caller's deadline
+        cancels the call.
+        """
         metadata = self.call.request.metadata
         record = TurnRecord(
             turn=metadata.id,
@@ -130,7 +151,8 @@
             replicas=[],
         )
         started_ms = self.group.clock.now_ms()
-        # Copies made by an earlier try count, since a record never changes.
+        # Storing is idempotent, since a record never changes: a keeper that has a
+        # copy from an earlier attempt acknowledges it again.
         storing = self.group.retry_until_acknowledged(
             lambda: self.group.store_turn(record)
         )
@@ -146,7 +168,10 @@
         )
 
     def close(self) -> None:
-        """Cancel the reservation's task and settle the tokens that were sent."""
+        """Cancel the reservation's task and settle the tokens of the events.
+
+        Events count from just before they are sent to the caller.
+        """
         if self.reservation is None:
             return
         self.reservation.close()
@@ -164,6 +189,6 @@
 def with_unknown_outcome(refusal: Refusal) -> Refusal:
     """Return a copy of a refusal that leaves open whether the turn ran.
 
-    It names no retry time.
+    The copy has no Retry-After.
     """
     return Refusal(refusal.code, refusal.message, Outcome.UNKNOWN)
--- a/pollenwalk/request/reply.py
+++ b/pollenwalk/request/reply.py
@@ -9,13 +9,13 @@
     """The answer to one request of a caller.
 
     Attributes:
-        started: whether the status was sent.
+        started: whether sending the answer has begun.
     """
 
     started: bool
 
     async def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a complete answer with its length."""
+        """Send a complete answer with a Content-Length header."""
 
     async def start(self, status: int, headers: Headers) -> None:
         """Send status and headers of an answer whose length is not known."""
@@ -24,4 +24,7 @@
         """Send the next bytes of the body."""
 
     async def finish(self) -> None:
-        """End the answer as complete; without this, the caller sees it cut."""
+        """End an answer that was started.
+
+        Without this call, the caller sees that the answer broke off.
+        """
--- a/pollenwalk/request/reservation.py
+++ b/pollenwalk/request/reservation.py
@@ -24,11 +24,16 @@
 
     Attributes:
         permitted: done once the turn may run; fails if it may not.
-        recorded: task that ends once a majority of the keepers have answered and
-            the budget covers the turn; fails if either does not happen.
+        recorded: task that ends once a majority of the keepers have answered, the
+            reservation is on enough disks and the budget covers the turn; fails
+            if any of these does not happen. Replaced by a new task when the
+            recording is repeated.
         permitted_early: whether the turn was permitted before `recorded` was done.
-        other_tokens: tokens of the program's other turns, as known when this one
-            was permitted.
+        other_tokens: tokens that the program's other turns have spent or reserved,
+            as of the permission, then as of the end of the recording.
+        max_tokens: the most tokens that the turn may generate.
+        budget: tokens that all turns of the program may generate.
+        message: the request to the keepers.
     """
 
     def __init__(
@@ -78,11 +83,11 @@
         """Wait until the reservation of a turn that has begun to run is recorded.
 
         The answer of such a turn is ready or soon will be, and a late answer is
-        better than a cut one. So while keepers are unavailable, the recording is
+        better than one that breaks off. So while keepers are unavailable, the recording is
         repeated until the caller's deadline cancels it.
 
         Raises:
-            Refusal: the budget is spent.
+            Refusal: the budget does not cover the turn.
         """
         await self.group.retry_until_acknowledged(self.wait_or_record_again)
 
@@ -90,7 +95,8 @@
         """Wait for the recording; start a new one if keepers were unavailable.
 
         Raises:
-            Refusal: the budget is spent, or too few keepers answered.
+            Refusal: the budget does not cover the turn, or too few keepers
+                answered.
         """
         try:
             await asyncio.shield(self.recorded)
@@ -110,7 +116,8 @@
         """Record the reservation at a majority of the keepers and check the budget.
 
         Raises:
-            Refusal: the budget is spent, or too few keepers answered.
+            Refusal: the budget does not cover the turn, or too few keepers
+                answered.
         """
         started_ms = self.group.clock.now_ms()
         known_entries = await self.ask_majority()
@@ -118,7 +125,7 @@
         exhausted = decision.settled_tokens + self.max_tokens > self.budget
         if not (exhausted or self.has_headroom(decision, len(known_entries))):
             # A second round sees the turns that were reserved during the first. It
-            # is left out where settled turns alone use up the budget.
+            # is left out if settled turns alone leave too few tokens for this turn.
             known_entries.extend(await self.ask_majority())
             decision = self.decide(known_entries)
         took_ms = self.group.clock.now_ms() - started_ms
@@ -134,18 +141,22 @@
         )
         self.other_tokens = decision.others
         if not decision.fits:
-            raise Refusal(RefusalCode.BUDGET_EXHAUSTED, 'the budget is spent')
+            raise Refusal(
+                RefusalCode.BUDGET_EXHAUSTED, 'the budget does not cover the turn'
+            )
 
     async def ask_majority(self) -> list[list[TokenEntry]]:
-        """Reserve at all keepers and return the entries that a majority knows.
+        """Reserve at all keepers and wait until a majority has answered.
 
         Returns:
-            The entries of each keeper whose records are complete.
+            For each answer of a keeper whose records are complete, the entries
+            that it knows.
 
         Raises:
             Refusal: too few keepers answered.
         """
         known_entries: list[list[TokenEntry]] = []
+        # A keeper answers once the reservation is on its disk.
         stored_copies = 0
         # Read only once, since the list of keepers may change while they answer.
         majority = self.group.links.majority
@@ -158,13 +169,15 @@
             ):
                 return known_entries
         raise keepers_unavailable(
-            f'{len(known_entries)} of the required {majority} keepers know the budget'
+            f'{len(known_entries)} keepers with complete records answered a '
+            f'reservation; a majority is {majority}',
         )
 
     def add_answer(self, spent: Spent, known_entries: list[list[TokenEntry]]) -> None:
-        """Add one keeper's entries; permit the turn if they already suffice.
+        """Add one keeper's entries; permit the turn if the answers suffice.
 
-        Entries of a keeper whose records are incomplete are ignored.
+        The turn is permitted here only while a majority of the keepers is not
+        lost. Entries of a keeper whose records are incomplete are ignored.
         """
         if not spent.complete:
             return
@@ -178,7 +191,7 @@
             self.permitted.set_result(None)
 
     def decide(self, known_entries: list[list[TokenEntry]]) -> BudgetDecision:
-        """Return whether the budget covers the turn, given the keepers' entries."""
+        """Compare the turn with the budget, given the keepers' entries."""
         return decide_reservation(
             known_entries, self.call.id, self.max_tokens, self.budget
         )
@@ -187,7 +200,7 @@
         """Return whether the budget also covers turns not seen by these answers.
 
         Args:
-            decision: what follows from the answers.
+            decision: the comparison that the answers give.
             answers: number of keepers with complete records that answered.
         """
         answer_count = AnswerCount(answers, len(self.group.links.members.by_name))
--- a/pollenwalk/request/streaming.py
+++ b/pollenwalk/request/streaming.py
@@ -14,11 +14,11 @@
 
 
 class Turn(Protocol):
-    """The steps that a stream requires for the program that it belongs to."""
+    """What is done for a program while the answer of its turn is streamed."""
 
     @property
     def begins_program(self) -> bool:
-        """Return whether the turn begins its program."""
+        """Return whether program admission is checked before the turn is sent."""
 
     async def prepare(self) -> bytes:
         """Wait until the turn may run and return the request body to send.
@@ -31,14 +31,14 @@
         """Wait until an event may be sent to the caller, and record it.
 
         Raises:
-            Refusal: the event may not be sent; the turn has run.
+            Refusal: the event may not be sent; the outcome is unknown.
         """
 
     async def before_end(self) -> None:
-        """Wait until the turn is stored; the end may be sent only then.
+        """Wait until the end of the stream may be sent: the turn is stored then.
 
         Raises:
-            Refusal: the turn was not stored.
+            Refusal: the end may not be sent; the outcome is unknown.
         """
 
     def close(self) -> None:
@@ -76,14 +76,14 @@
     """Run a streaming call and forward its events to the caller.
 
     Args:
-        context: what forwarding needs of the process.
+        context: the parts of the gateway that are used to forward calls.
         call: the call.
         turn: prepares the request and permits each event.
         reply: the answer to the caller.
 
     Raises:
         Refusal: the call was not run or did not complete.
-        BrokenAnswer: the host's answer broke off, and no other host may go on.
+        BrokenAnswer: the host's answer broke off and may not be resumed.
     """
     try:
         body = await turn.prepare()
@@ -99,7 +99,8 @@
     """Forwards the stream of one call to its caller.
 
     Attributes:
-        last_event_id: id of the last event sent to the caller; empty for none.
+        last_event_id: id of the last event with an id that was sent to the
+            caller; empty for none.
     """
 
     def __init__(
@@ -127,17 +128,18 @@
             self.sender.record_run_time()
 
     def check_resumed_status(self, exchange: Exchange) -> None:
-        """Check that a host that resumes a stream answers with success.
+        """Check that a host resumes a stream that the caller has a part of.
 
         Raises:
-            BrokenAnswer: it does not, and the caller already has a part.
+            BrokenAnswer: the status of its answer is not a success; the exchange
+                is closed.
         """
         if self.reply.started and not exchange.succeeded:
             exchange.close()
             raise BrokenAnswer(f'resumed with status {exchange.head.status}')
 
     async def try_forward_answer(self, exchange: Exchange) -> bool:
-        """Forward one host's answer to its end.
+        """Forward one host's answer to its end, and record success or failure.
 
         Returns:
             False if the answer broke off and another host may be tried.
@@ -157,7 +159,12 @@
         return True
 
     async def forward_answer(self, exchange: Exchange) -> None:
-        """Forward a stream by events, or an unsuccessful answer in one piece."""
+        """Forward a stream event by event, or an unsuccessful answer in one piece.
+
+        Raises:
+            BrokenAnswer: the answer broke off.
+            Refusal: the turn may not go on.
+        """
         if not exchange.succeeded:
             body = await exchange.body()
             head = exchange.head
@@ -174,7 +181,7 @@
         await self.reply.finish()
 
     async def forward_event(self, exchange: Exchange, event: Event) -> None:
-        """Send one event to the caller when the turn permits it."""
+        """Send one event to the caller once the turn permits it."""
         await self.turn.before_event(event)
         await self.start_reply(exchange)
         await self.reply.write(event.raw)
--- a/pollenwalk/request/unary.py
+++ b/pollenwalk/request/unary.py
@@ -11,7 +11,7 @@
     """Run a call and forward its answer once it is complete.
 
     Args:
-        context: what forwarding needs of the process.
+        context: the parts of the gateway that are used to forward calls.
         call: the call.
         reply: the answer to the caller.
 
@@ -35,7 +35,7 @@
 
 
 async def read_body_or_none(sender: CallSender, exchange: Exchange) -> bytes | None:
-    """Read the body of an answer; return None if it broke off."""
+    """Read the body of an answer; record a failure and return None if it broke off."""
     try:
         with exchange:
             return await exchange.body()
