--- a/pollenwalk/request/event_stream.py
+++ b/pollenwalk/request/event_stream.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-# The end of an event's last line and the blank line after it. Lines that end with
-# CR alone are not recognised.
+# The end of an event's last line and the blank line after it. A blank line between
+# lines that end with CR alone is not recognised.
 EVENT_ENDS = (b'\n\n', b'\r\n\r\n')
 
 
--- a/pollenwalk/request/reservation.py
+++ b/pollenwalk/request/reservation.py
@@ -83,8 +83,8 @@
         """Wait until the reservation of a turn that has begun to run is recorded.
 
         The answer of such a turn is ready or soon will be, and a late answer is
-        better than one that breaks off. So while keepers are unavailable, the recording is
-        repeated until the caller's deadline cancels it.
+        better than one that breaks off. So while keepers are unavailable, the
+        recording is repeated until the caller's deadline cancels it.
 
         Raises:
             Refusal: the budget does not cover the turn.
