--- a/pollenwalk/request/event_stream.py
+++ b/pollenwalk/request/event_stream.py
@@ -3,7 +3,9 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-BLANK_LINES = (b'\n\n', b'\r\n\r\n')
+# The end of an event's last line and the blank line after it. A blank line between
+# lines that end with CR alone is not recognised.
+EVENT_ENDS = (b'\n\n', b'\r\n\r\n')
 
 
 class Event(NamedTuple):
@@ -28,7 +30,7 @@
     """
 
     def __init__(self) -> None:
-        """Start without bytes."""
+        """Create a splitter that has not received any bytes."""
         self.incomplete = b''
 
     def feed(self, chunk: bytes) -> Iterator[Event]:
@@ -43,17 +45,20 @@
             yield parse_event(raw)
 
     def end_of_event(self) -> int:
-        """Return where the first event ends, or 0 if it is incomplete."""
+        """Return the length of the first event in `incomplete`.
+
+        0 if there is no complete event.
+        """
         ends = (
-            position + len(blank)
-            for blank in BLANK_LINES
-            if (position := self.incomplete.find(blank)) >= 0
+            position + len(event_end)
+            for event_end in EVENT_ENDS
+            if (position := self.incomplete.find(event_end)) >= 0
         )
         return min(ends, default=0)
 
 
 def parse_event(raw: bytes) -> Event:
-    """Decode the fields of one event."""
+    """Decode the id and data fields of one event; ignore its other fields."""
     event_id = ''
     lines: list[bytes] = []
     for line in raw.splitlines():
--- a/pollenwalk/request/exchange.py
+++ b/pollenwalk/request/exchange.py
@@ -9,27 +9,39 @@
 from pollenwalk.process.host_table import HostState
 from pollenwalk.request.http_messages import AnswerHead
 
-SUCCESSES = range(HTTPStatus.OK, HTTPStatus.MULTIPLE_CHOICES)
+SUCCESS_STATUSES = range(HTTPStatus.OK, HTTPStatus.MULTIPLE_CHOICES)
 
 
 class Exchange:
-    """A connection to a host while it answers one call.
+    """One request to an upstream host and its answer.
 
     As a context manager it gives the connection back to the pool if the answer
     was read to its end, and closes it otherwise.
 
     Attributes:
-        head: status and headers of the answer, once received.
+        state: the estimate of the host; it counts the call as in flight until the
+            exchange is closed.
+        connection: carries the request and the answer.
+        head: status and headers of the answer; until they are received, status 0
+            and no headers.
         complete: whether the answer was read to its end.
+        closed: whether the exchange has given up its connection.
     """
 
     def __init__(
-        self, pool: ConnectionPool, state: HostState, link: UpstreamConnection
+        self, pool: ConnectionPool, state: HostState, connection: UpstreamConnection
     ) -> None:
-        """Use `link`, taken from `pool`, for a call at the host of `state`."""
+        """Create an exchange on a connection to a host.
+
+        Args:
+            pool: the pool that the connection was acquired from.
+            state: the estimate of the host, which already counts the call as in
+                flight.
+            connection: the connection.
+        """
         self.pool = pool
         self.state = state
-        self.link = link
+        self.connection = connection
         self.head = AnswerHead(0, [])
         self.complete = False
         self.closed = False
@@ -48,23 +60,24 @@
         self.close()
 
     def close(self) -> None:
-        """Reuse or close the connection; the call no longer counts as in flight.
+        """Give up the connection and stop counting the call as in flight.
 
-        Only a connection whose answer was read to its end is reused.
+        The connection is released to the pool if the answer was read to its end,
+        and closed otherwise.
         """
         if self.closed:
             return
         self.closed = True
         self.state.in_flight -= 1
         if self.complete:
-            self.pool.release(self.state.registration, self.link)
+            self.pool.release(self.state.registration, self.connection)
         else:
-            self.link.abort()
+            self.connection.abort()
 
     @property
     def succeeded(self) -> bool:
         """Return whether the answer's status is a success."""
-        return self.head.status in SUCCESSES
+        return self.head.status in SUCCESS_STATUSES
 
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yield the body in chunks as they arrive.
@@ -72,7 +85,7 @@
         Raises:
             BrokenAnswer: the answer broke off.
         """
-        async for chunk in self.link.chunks():
+        async for chunk in self.connection.chunks():
             yield chunk
         self.complete = True
 
