--- a/pollenwalk/policy/program_admission.py
+++ b/pollenwalk/policy/program_admission.py
@@ -64,7 +64,7 @@
     return wait_ms <= target_ms * MAX_WAIT_SHARE / (1 + priority)
 
 
-def retry_delay_ms(remaining_ms: float, rng: random.Random) -> float:
+def draw_retry_after_ms(remaining_ms: float, rng: random.Random) -> float:
     """Return after how many ms a caller whose program was refused should retry.
 
     Args:
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -23,7 +23,7 @@
 from pollenwalk.process.store import ObjectStore
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.request.call_sender import ForwardingContext
-from pollenwalk.request.call_state import Call, call_deadline_ms
+from pollenwalk.request.call_state import Call, call_deadline_at_ms
 from pollenwalk.request.http_messages import Request
 from pollenwalk.request.program_turn import ProgramTurn
 from pollenwalk.request.reply import Reply
@@ -306,7 +306,7 @@
         route=route,
         upstream=pick_upstream(route, metadata.program or metadata.id),
         version=current.version,
-        deadline_at_ms=call_deadline_ms(request, route),
+        deadline_at_ms=call_deadline_at_ms(request, route),
         tokens_per_event=current.tokens_per_event(route),
     )
 
--- a/pollenwalk/request/call_sender.py
+++ b/pollenwalk/request/call_sender.py
@@ -14,7 +14,7 @@
 from pollenwalk.errors import BrokenAnswer, NotSent, Outcome, Refusal, RefusalCode
 from pollenwalk.platform.headers import added_headers, resume_header
 from pollenwalk.policy.host_choice import CallCost
-from pollenwalk.policy.program_admission import is_wait_acceptable, retry_delay_ms
+from pollenwalk.policy.program_admission import draw_retry_after_ms, is_wait_acceptable
 from pollenwalk.process.call_placer import CallPlacer
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.gateway_metrics import GatewayMetrics
@@ -87,7 +87,7 @@
         if is_wait_acceptable(wait_ms, call.route.target_ms, call.route.priority):
             return
         remaining_ms = call.remaining_ms(self.context.clock.now_ms())
-        retry_after_ms = retry_delay_ms(remaining_ms, self.context.rng)
+        retry_after_ms = draw_retry_after_ms(remaining_ms, self.context.rng)
         logger.info(
             'turned_back',
             request=call.id,
--- a/pollenwalk/request/call_state.py
+++ b/pollenwalk/request/call_state.py
@@ -39,7 +39,7 @@
         return self.deadline_at_ms - now_ms
 
 
-def call_deadline_ms(request: Request, route: Route) -> float:
+def call_deadline_at_ms(request: Request, route: Route) -> float:
     """Return the deadline on the process's clock.
 
     It is the earlier one of the caller's and the route's, less the time that the
--- a/pollenwalk/request/retry.py
+++ b/pollenwalk/request/retry.py
@@ -8,7 +8,7 @@
 import random
 
 RETRIES_PER_SUCCESS = 0.2
-MAX_SAVED_RETRIES = 10.0
+MAX_BALANCE = 10.0
 FIRST_BACKOFF_MS = 50
 MAX_BACKOFF_MS = 2000
 BACKOFF_FACTOR = 2
@@ -23,11 +23,11 @@
 
     def __init__(self) -> None:
         """Start with the highest balance."""
-        self.balance = MAX_SAVED_RETRIES
+        self.balance = MAX_BALANCE
 
     def earn(self) -> None:
         """Add what one success earns."""
-        self.balance = min(self.balance + RETRIES_PER_SUCCESS, MAX_SAVED_RETRIES)
+        self.balance = min(self.balance + RETRIES_PER_SUCCESS, MAX_BALANCE)
 
     def spend(self) -> bool:
         """Spend one retry; return False if none is left."""
--- a/test/policy/test_program_admission.py
+++ b/test/policy/test_program_admission.py
@@ -8,7 +8,7 @@
 
 import testtools
 
-from pollenwalk.policy.program_admission import is_wait_acceptable, retry_delay_ms
+from pollenwalk.policy.program_admission import draw_retry_after_ms, is_wait_acceptable
 
 SLOTS = 32
 RUN_MS = 200.0
@@ -94,7 +94,7 @@
         if self.rule(wait_ms):
             self.run_turn(now_ms, program)
         elif program.tries < MAX_TRIES:
-            back_ms = now_ms + retry_delay_ms(CALLER_TIMEOUT_MS, self.rng)
+            back_ms = now_ms + draw_retry_after_ms(CALLER_TIMEOUT_MS, self.rng)
             self.schedule(
                 back_ms, self.begin, program._replace(tries=program.tries + 1)
             )
@@ -178,6 +178,6 @@
 
     def test_retry_delays_are_spread(self) -> None:
         rng = random.Random(1)
-        delays = [retry_delay_ms(CALLER_TIMEOUT_MS, rng) for _ in range(100)]
+        delays = [draw_retry_after_ms(CALLER_TIMEOUT_MS, rng) for _ in range(100)]
         self.assertTrue(max(delays) <= CALLER_TIMEOUT_MS / 3)
         self.assertTrue(max(delays) - min(delays) > CALLER_TIMEOUT_MS / 20)
--- a/test/process/test_limits.py
+++ b/test/process/test_limits.py
@@ -18,7 +18,7 @@
 )
 from pollenwalk.process.store import ABSENT
 from pollenwalk.process.write_limiter import WriteLimiter
-from pollenwalk.request.retry import MAX_SAVED_RETRIES, RetryBudget, backoff_ms
+from pollenwalk.request.retry import MAX_BALANCE, RetryBudget, backoff_ms
 from standin.store import MemoryStore
 from test.helper import make_clock, virtual
 
@@ -68,7 +68,7 @@
     def test_an_outage_ends_retries(self) -> None:
         budget = RetryBudget()
         allowed = sum(budget.spend() for _ in range(1000))
-        self.assertEqual(MAX_SAVED_RETRIES, allowed)
+        self.assertEqual(MAX_BALANCE, allowed)
 
     def test_successes_earn_a_fifth(self) -> None:
         budget = RetryBudget()
