--- a/pollenwalk/policy/host_choice.py
+++ b/pollenwalk/policy/host_choice.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable
 from typing import NamedTuple, Protocol
 
-# Round trips to hosts outside the gateway's zone, assumed as no better figures are
-# known.
+# Round trips to hosts outside the gateway's zone. They are assumed, as the gateway
+# does not measure them.
 SAME_REGION_ROUND_TRIP_MS = 1.0
 CROSS_REGION_ROUND_TRIP_MS = 60.0
 # Estimates that exceed the best one by no more than this count as equal to it.
@@ -45,13 +45,13 @@
 
     Attributes:
         run_ms: expected run time at an idle host.
-        prompt_tokens: tokens of the prompt; those not cached have to be read.
-        read_ms_per_token: time to read one token of the prompt.
+        prompt_tokens: tokens of the prompt; prefill computes those not cached.
+        read_ms_per_token: time to compute one token of the prompt.
     """
 
     run_ms: float
     prompt_tokens: int = 0
-    read_ms_per_token: float = 0.0
+    prefill_ms_per_token: float = 0.0
 
 
 class HostChoice(Protocol):
@@ -79,7 +79,8 @@
     ) -> Candidate | None:
         """Return the host with the earliest expected finish.
 
-        Suspected hosts are considered only if all hosts are suspected.
+        Suspected hosts are considered only if all hosts are suspected. Among
+        hosts within `TIE_TOLERANCE_MS` of the best one, the choice is random.
         """
         all_candidates = list(candidates)
         trusted = [one for one in all_candidates if not one.suspected] or all_candidates
@@ -112,15 +113,15 @@
 
 
 def finish_ms(candidate: Candidate, cost: CallCost) -> float:
-    """Return an estimate in ms for comparing when hosts would finish a call.
+    """Estimate in how many ms a host would finish a call, less its idle run time.
 
-    The sum of the round trip, the wait for a slot, the slowdown by other calls
-    and the reading of uncached tokens. The run time at an idle host is left out,
-    as it is the same everywhere.
+    The estimate is the sum of the round trip, the wait for a slot, the slowdown
+    by other calls and the prefill of uncached tokens. The run time at an idle
+    host is left out, as it is the same everywhere.
     """
     load_share = candidate.load / max(candidate.slots, 1)
     slowdown_ms = cost.run_ms * FULL_HOST_SLOWDOWN * min(load_share, 1)
     uncached_tokens = max(cost.prompt_tokens - candidate.cached_tokens, 0)
-    reading_ms = uncached_tokens * cost.read_ms_per_token
+    prefill_ms = uncached_tokens * cost.prefill_ms_per_token
     total_wait_ms = round_trip_ms(candidate) + queue_wait_ms(candidate, cost)
-    return total_wait_ms + slowdown_ms + reading_ms
+    return total_wait_ms + slowdown_ms + prefill_ms
--- a/pollenwalk/policy/placement.py
+++ b/pollenwalk/policy/placement.py
@@ -43,7 +43,7 @@
         prompt_tokens: tokens of the whole prompt.
         cached_tokens: prompt tokens cached at each host, by id of its sidecar.
         expected_decode_ms: expected time to generate the answer.
-        prefill_ms: time to compute one prompt token.
+        prefill_ms: time to compute one prompt token, as declared for the upstream.
         avoid: ids of sidecars that refused or lost this call before.
     """
 
@@ -85,7 +85,7 @@
     """Chooses the host that is expected to finish the call first.
 
     Prefill is weighted higher than the time it takes, because all other calls at
-    the host wait while one program's prompt is computed again.
+    the host wait while a prompt that another host has cached is computed again.
     """
 
     def __init__(self, prefill_weight: float = PREFILL_WEIGHT) -> None:
@@ -103,10 +103,10 @@
         )
 
     def finish_ms(self, host: HostView, request: PlacementRequest) -> float:
-        """Return an estimate in ms for comparing when hosts would finish a call.
+        """Return the cost in ms by which hosts are compared; the lowest is best.
 
-        The sum of the round trip, the wait for a slot and the weighted prefill.
-        Decoding is left out, as it takes the same time at every host.
+        The cost is the sum of the round trip, the wait for a slot and the weighted
+        prefill. Decoding is left out, as it takes the same time at every host.
         """
         cached = request.cached_tokens.get(host.sidecar, 0)
         uncached_prefill_ms = (
--- a/pollenwalk/policy/program_admission.py
+++ b/pollenwalk/policy/program_admission.py
@@ -10,17 +10,18 @@
 
 from pollenwalk.policy.placement import HostView
 
-# Waiting calls per slot up to which a program of the middle priority level is
-# admitted by an entry.
-WAITING_PER_SLOT = 1.0
-# Lower bound of that number for the least urgent levels.
-MIN_WAITING_PER_SLOT = 0.25
-# Added for each level below the middle one, which is more urgent, and subtracted
-# for each level above it.
-WAITING_PER_LEVEL = 0.125
+# An entry admits a program of the middle priority level while fewer calls than
+# this wait per slot.
+MAX_WAITING_PER_SLOT = 1.0
+# Lower bound of that limit, for the least urgent levels.
+LOWEST_MAX_WAITING_PER_SLOT = 0.25
+# Difference between the limits of two successive levels. A lower level is more
+# urgent and has the higher limit.
+WAITING_STEP_PER_LEVEL = 0.125
 MIDDLE_LEVEL = 5
-# The longest expected wait for a slot at which a program of the most urgent
-# priority is admitted by a gateway, as a share of the route's target time.
+# The longest expected wait at which a gateway admits a program of the most urgent
+# priority, as a share of the route's latency target. Its first call should begin
+# to be answered within that target.
 MAX_WAIT_SHARE = 1.0
 # Retry-After is drawn between these shares of the caller's remaining time: late
 # enough for a slot to become free, early enough to be served before the deadline.
@@ -44,8 +45,10 @@
     if not slots:
         return True
     waiting = sum(max(host.estimated_calls - host.slots, 0) for host in hosts)
-    allowed_per_slot = WAITING_PER_SLOT + WAITING_PER_LEVEL * (MIDDLE_LEVEL - level)
-    return waiting < max(allowed_per_slot, MIN_WAITING_PER_SLOT) * slots
+    allowed_per_slot = MAX_WAITING_PER_SLOT + WAITING_STEP_PER_LEVEL * (
+        MIDDLE_LEVEL - level
+    )
+    return waiting < max(allowed_per_slot, LOWEST_MAX_WAITING_PER_SLOT) * slots
 
 
 def is_wait_acceptable(wait_ms: float, target_ms: float, priority: int) -> bool:
@@ -57,7 +60,8 @@
 
     Args:
         wait_ms: expected round trip and wait for a slot at the best host.
-        target_ms: time within which the first call should be answered.
+        target_ms: latency target of the route, within which the first call
+            should begin to be answered.
         priority: priority of the route; 0 is the most urgent and accepts the
             longest wait.
     """
@@ -65,7 +69,7 @@
 
 
 def draw_retry_after_ms(remaining_ms: float, rng: random.Random) -> float:
-    """Return after how many ms a caller whose program was refused should retry.
+    """Return a random Retry-After in ms for a caller whose program was refused.
 
     Args:
         remaining_ms: time until the caller's deadline.
--- a/pollenwalk/policy/slot_queue.py
+++ b/pollenwalk/policy/slot_queue.py
@@ -9,6 +9,7 @@
 # A waiting call becomes one priority level more urgent each time it has waited for
 # this long.
 AGING_MS_PER_LEVEL = 10_000
+# Retry-After of calls that find the queue full.
 RETRY_AFTER_MS = 250
 
 
@@ -32,7 +33,7 @@
     admitted: asyncio.Future[None]
 
 
-def urgency(call: WaitingCall, now_ms: float) -> tuple[float, float, float]:
+def urgency_key(call: WaitingCall, now_ms: float) -> tuple[float, float, float]:
     """Return the sort key of a waiting call; the lowest key runs next.
 
     Calls are ordered by priority level with aging, then by the start of their
@@ -86,7 +87,7 @@
         if full or not self.slots:
             raise Refusal(
                 RefusalCode.OVERLOADED,
-                'the queue of this upstream host is full',
+                'this upstream host has no slots or its queue is full',
                 retry_after_ms=RETRY_AFTER_MS,
             )
         admitted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -123,7 +124,7 @@
         """Assign the free slots to the most urgent waiting calls."""
         while self.waiting and self.running < self.slots:
             now_ms = self.clock.now_ms()
-            call = min(self.waiting, key=lambda one: urgency(one, now_ms))
+            call = min(self.waiting, key=lambda one: urgency_key(one, now_ms))
             self.waiting.remove(call)
             if not call.admitted.done():
                 self.running += 1
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -20,10 +20,11 @@
 NO_HOST_PAUSE_MS = 100
 NO_HOST_TIMEOUT_MS = 1500
 # How long a host gets no calls after a refusal without a retry time, and after a
-# lost connection.
+# lost connection. Its next report ends the pause earlier.
 REFUSAL_PAUSE_MS = 100
 LOST_HOST_PAUSE_MS = 1000
-# Retry-After of calls that no host accepts or that have no retries left.
+# Retry-After of calls that no host accepts, that have no retries left or that did
+# not reach their host.
 RETRY_AFTER_MS = 500
 
 
@@ -53,14 +54,14 @@
 
     @property
     def priority(self) -> int:
-        """Return the level of the program's priority class."""
+        """Return the priority level, which the program's priority class has."""
         declaration = self.context.config.program(self.program.declaration)
         name = declaration.priority if declaration else ''
         return self.context.config.priority_level(name)
 
     @property
     def message_tokens(self) -> int:
-        """Return the number of tokens that the call adds to the prompt."""
+        """Return the estimated number of tokens that the call adds to the prompt."""
         return estimate_tokens(str(self.request.argument.get('message', '')))
 
     async def choose_host(self) -> HostView:
@@ -68,7 +69,7 @@
 
         Raises:
             Fenced: this owner is about to hand its programs over.
-            Refusal: no host accepted work in time; the call did not run.
+            Refusal: no host accepted calls in time; the call did not run.
         """
         give_up_at_ms = self.context.clock.now_ms() + min(
             NO_HOST_TIMEOUT_MS,
@@ -148,11 +149,11 @@
         max_tokens: int,
         trace: str,
     ) -> Dispatch:
-        """Build the dispatch, with the history entries that the sidecar lacks."""
+        """Build the dispatch, with the history items that the sidecar lacks."""
         history = self.program.history
-        model = self.spec.kind == 'model'
+        is_model = self.spec.kind == 'model'
         base = self.live.sidecar_digests.get(host.sidecar, EMPTY_DIGEST)
-        delta = history.since(base) if model else []
+        delta = history.since(base) if is_model else []
         if delta is None:
             base, delta = EMPTY_DIGEST, history.items
         return Dispatch(
@@ -164,7 +165,7 @@
             self.request.argument,
             base,
             list(delta),
-            history.digest if model else EMPTY_DIGEST,
+            history.digest if is_model else EMPTY_DIGEST,
             max_tokens,
             self.priority,
             self.context.clock.now_ms() - self.live.begun_ms,
@@ -185,7 +186,8 @@
     async def handle_refusal(self, host: HostView, refusal: Refusal) -> None:
         """Pause a host that refused the call, and back off.
 
-        A host that is stopping is marked as leaving instead.
+        The pause lasts as long as the refusal asks for, or `REFUSAL_PAUSE_MS`. A
+        host that is stopping is marked as leaving instead.
 
         Raises:
             Refusal: no attempt is left, or no retry for this caller and upstream.
--- a/pollenwalk/request/call.py
+++ b/pollenwalk/request/call.py
@@ -86,8 +86,10 @@
         self.stream.end()
 
     def fail(self, error: Exception) -> None:
-        """End the call with an error; no record of it exists."""
+        """End the call for all who wait for it, with an error and without a record."""
         if not self.done.done():
             self.done.set_exception(error)
+            # Marks the exception as retrieved: asyncio logs it otherwise if nobody
+            # waits for the call.
             self.done.exception()
         self.stream.end()
--- a/pollenwalk/request/call_state.py
+++ b/pollenwalk/request/call_state.py
@@ -17,7 +17,8 @@
         route: the route that matches the request.
         upstream: name of the route's upstream that was chosen for the call.
         version: version of the configuration that has the route.
-        deadline_at_ms: when the caller or the route stops waiting, on the
+        deadline_at_ms: the earlier one of the caller's and the route's deadline,
+            less the time that the answer needs to reach the caller; on the
             process's clock.
         tokens_per_event: tokens that one event of the stream counts for.
     """
@@ -40,7 +41,7 @@
 
 
 def call_deadline_at_ms(request: Request, route: Route) -> float:
-    """Return the deadline on the process's clock.
+    """Return the deadline of a call as a time on the process's clock.
 
     It is the earlier one of the caller's and the route's, less the time that the
     answer needs to reach the caller.
--- a/pollenwalk/request/dispatch.py
+++ b/pollenwalk/request/dispatch.py
@@ -18,7 +18,8 @@
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.request.call import LiveCall
 
-# How long one question for an outcome may take, and the pause after a lost one.
+# Timeout of one request for an outcome, and the pause after a request without an
+# answer.
 RESOLVE_TIMEOUT_MS = 2000
 RESOLVE_PAUSE_MS = 250
 NOT_RUN_STATE = 'not_run'
@@ -53,12 +54,16 @@
         )
         answer = await collect_answer(connection.stream(full_message), call)
     if not isinstance(answer, Answer):
-        raise ConnectionLost('the sidecar ended without an answer')
+        raise ConnectionLost('the sidecar ended the stream without an answer')
     return answer
 
 
 async def collect_answer(messages: AsyncIterator[Any], call: LiveCall) -> Any:
-    """Append tokens to the call's stream and return the last other message."""
+    """Append tokens to the call's stream and return the message that ends them.
+
+    Returns:
+        The last message that is not `Tokens`; None if there is none.
+    """
     last = None
     async for message in messages:
         if isinstance(message, Tokens):
@@ -83,7 +88,7 @@
     message = Follow(call.id, boot_id, len(call.stream.texts))
     answer = await collect_answer(connection.stream(message), call)
     if not isinstance(answer, Answer):
-        raise ConnectionLost('the sidecar ended without an answer')
+        raise ConnectionLost('the sidecar ended the stream without an answer')
     return answer
 
 
@@ -144,7 +149,7 @@
         if connection.boot_id != self.boot_id:
             raise Refusal(
                 RefusalCode.OUTCOME_UNKNOWN,
-                'the upstream host restarted while the call was with it',
+                'the sidecar of the upstream host restarted after the call was sent to it',
                 Outcome.UNKNOWN,
             )
         question = Resolve(call.id, self.boot_id, fence)
--- a/pollenwalk/request/entry_context.py
+++ b/pollenwalk/request/entry_context.py
@@ -1,4 +1,4 @@
-"""The parts of an entry that running a program's calls needs."""
+"""What an entry provides for running the calls of its programs."""
 
 import random
 from typing import NamedTuple
@@ -14,7 +14,7 @@
 
 
 class EntryContext(NamedTuple):
-    """The parts of an entry that running a program's calls needs.
+    """What an entry provides for running the calls of its programs.
 
     Attributes:
         incarnation: id of this start of the entry.
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -1,7 +1,7 @@
 """Execution of one call that is next in order: dispatch, retry and record.
 
-A model call may be repeated, so it is tried again at another host when a host is
-lost. A non-idempotent call is dispatched only after its intent is durable, and
+An idempotent call, such as one to a model, is tried again at another host when a
+host is lost. Any other call is dispatched only after its intent is durable, and
 dispatched again only after proof that it did not run.
 """
 
@@ -26,7 +26,8 @@
 from pollenwalk.request.entry_context import EntryContext
 from pollenwalk.version.resources import ProgramSpec, UpstreamSpec
 
-# How long a call waits for a record that it needs before it is dispatched.
+# How long a call waits for each thing that it needs before it is dispatched: proof
+# of ownership, and the record of its intent or of its reserved tokens.
 INTENT_TIMEOUT_MS = 2000
 # How long after the call's deadline its sidecar is still asked for the outcome.
 RESOLVE_GRACE_MS = 5000
@@ -64,7 +65,7 @@
         if self.request.operation not in self.spec.idempotent:
             return await self.run_once()
         try:
-            return await self.run_repeatable()
+            return await self.run_idempotent()
         except Refusal as refusal:
             is_final = refusal.retry_after_ms is None
             if is_final and self.live.may_have_run(self.request):
@@ -73,12 +74,12 @@
                 return await self.finish(with_unknown_outcome(refusal), None)
             raise
 
-    async def run_repeatable(self) -> FinishedCall:
-        """Run a call that may be repeated; model calls stay within the budget."""
+    async def run_idempotent(self) -> FinishedCall:
+        """Run an idempotent call; model calls stay within the budget."""
         while True:
             max_tokens = await self.ensure_reserved() if self.is_model else 0
             host = await self.attempts.choose_host()
-            call_result = await self.attempt_repeatable(host, max_tokens)
+            call_result = await self.attempt_idempotent(host, max_tokens)
             if call_result is not None:
                 return await self.finish(call_result, host)
 
@@ -87,10 +88,10 @@
         """Return whether the upstream is a model and not a plain service."""
         return self.spec.kind == 'model'
 
-    async def attempt_repeatable(
+    async def attempt_idempotent(
         self, host: HostView, max_tokens: int
     ) -> CallResult | None:
-        """Make one attempt at a call that may be repeated.
+        """Make one attempt at an idempotent call.
 
         Returns:
             The answer or the final refusal; None if another attempt is due.
@@ -124,7 +125,11 @@
         return refusal
 
     async def forfeit_reservation(self) -> None:
-        """Record that the tokens reserved for a lost attempt count as spent."""
+        """Record the tokens reserved for a lost attempt as spent.
+
+        The tokens that the attempt has generated are discarded. Calls of plain
+        services have no reservation.
+        """
         if not self.is_model:
             return
         await self.context.recorder.record(
@@ -171,7 +176,11 @@
                 await self.attempts.handle_lost_host(host)
 
     async def attempt_once(self, host: HostView, connection: Connection) -> CallResult:
-        """Dispatch the call; if the connection is lost, resolve the outcome."""
+        """Dispatch the call once; if the connection is lost, resolve the outcome.
+
+        Returns:
+            The answer, or a refusal whose outcome says whether the call ran.
+        """
         try:
             return await self.attempts.dispatch_to(host, 0, connection)
         except ConnectionLost:
@@ -293,7 +302,7 @@
             self.request.operation,
             answer,
             RefusalBody.from_refusal(refusal) if refusal else None,
-            self.history_entries(answer),
+            self.history_items(answer),
             self.spent_tokens(answer),
             self.next_reservation(),
             host.address if self.is_model and host else '',
@@ -308,8 +317,8 @@
     def spent_tokens(self, answer: Answer | None) -> int:
         """Return the tokens that the call has cost.
 
-        A model call without an answer counts with all reserved tokens, as nobody
-        knows how many it has used.
+        A model call without an answer counts with all reserved tokens, as it is
+        unknown how many it has used.
         """
         if not self.is_model:
             return 0
@@ -318,14 +327,17 @@
         return self.attempts.message_tokens + answer.tokens
 
     def next_reservation(self) -> int:
-        """Return the tokens to reserve for the program's next call."""
+        """Return the tokens to reserve for the program's next call.
+
+        A call of a plain service leaves the reservation as it is.
+        """
         budget = self.program.budget
         if self.is_model:
             return budget.cap_reserve_ahead(self.declaration.reserve_tokens)
         return budget.reserved
 
-    def history_entries(self, answer: Answer | None) -> list[HistoryItem]:
-        """Return the entries that the call adds to the program's history."""
+    def history_items(self, answer: Answer | None) -> list[HistoryItem]:
+        """Return the items that the call adds to the program's history."""
         if answer is None:
             return []
         if self.is_model:
@@ -341,7 +353,7 @@
 
 
 def never_arrived_refusal() -> Refusal:
-    """Return the refusal of a call that its sidecar lacks and will not receive."""
+    """Return the refusal of a call that never reached its sidecar, nor ever will."""
     return Refusal(
         RefusalCode.NO_UPSTREAM,
         'the call never reached the upstream host',
@@ -352,7 +364,8 @@
 def records_lost_refusal() -> Refusal:
     """Return the refusal of a call that may have run before.
 
-    The program's last records were lost, and its own may have been among them.
+    The program's last records were lost; those of this call may have been among
+    them.
     """
     return Refusal(
         RefusalCode.OUTCOME_UNKNOWN,
--- a/pollenwalk/request/retry.py
+++ b/pollenwalk/request/retry.py
@@ -22,7 +22,7 @@
     """
 
     def __init__(self) -> None:
-        """Start with the highest balance."""
+        """Start with the maximum balance."""
         self.balance = MAX_BALANCE
 
     def earn(self) -> None:
--- a/pollenwalk/request/routing.py
+++ b/pollenwalk/request/routing.py
@@ -3,6 +3,9 @@
 A program's id names its first owner, and the directory names the successors. An
 entry that is not the owner cannot know whether a call ran, so it never states on
 its own that a call did not run.
+
+The registrar of a caller's idempotency key is the entry that ranks first for it. It
+records which program the key has begun.
 """
 
 from collections import Counter
@@ -35,13 +38,15 @@
 from pollenwalk.program.view import view_call, view_program
 
 # How long a request waits for an owner or registrar that answers, and the pause
-# between tries.
+# between attempts. Calls wait longer, see `Routing.call_until_done`.
 OWNER_WAIT_MS = 30_000
 OWNER_PAUSE_MS = 50
+# Timeout of one request to another entry, other than a call or a key look-up.
 FORWARD_TIMEOUT_MS = 10_000
-CLAIM_TIMEOUT_MS = 1000
+# Timeout of asking one earlier registrar of a key.
+CLAIM_LOOKUP_TIMEOUT_MS = 1000
 # How many earlier registrars of a key are asked for its program.
-MAX_OLDER_REGISTRARS = 2
+MAX_EARLIER_REGISTRARS = 2
 # Errors after which the owner is looked up again, as it may have a successor.
 OWNER_MOVED_ERRORS = (ConnectionLost, Fenced, OwnerUnreachable)
 
@@ -86,10 +91,11 @@
         return owner_of(program_id) == self.incarnation
 
     async def find_owner(self, program_id: str) -> EntryRecord:
-        """Return the record of the entry that owns a program now.
+        """Return the record of a program's current owner.
 
         Raises:
-            Refusal: no entry is known by the incarnation in the program's id.
+            Refusal: the directory has no owner for the incarnation in the
+                program's id.
             OwnerUnreachable: the store does not answer.
         """
         incarnation = owner_of(program_id)
@@ -117,20 +123,24 @@
         self.open_requests += 1
         try:
             if request.parent:
-                return await self.ask_until_answered(request.parent, request)
-            return await self.begin_with_key(request)
+                return await self.request_until_answered(request.parent, request)
+            return await self.begin_without_parent(request)
         finally:
             self.open_requests -= 1
 
-    async def begin_with_key(self, request: BeginProgram) -> View:
-        """Begin a program unless its key has begun one at any entry before."""
+    async def begin_without_parent(self, request: BeginProgram) -> View:
+        """Begin a program that has no parent.
+
+        If the request has a key that has begun a program before, at any entry, that
+        program is returned.
+        """
         proposed_id = self.owner.program_creator.new_id(self.choose_owner(request))
         if not request.key:
-            return await self.ask_until_answered(
+            return await self.request_until_answered(
                 proposed_id, request._replace(program=proposed_id)
             )
         program_id = await self.claim(request, proposed_id)
-        return await self.ask_until_answered(
+        return await self.request_until_answered(
             program_id,
             request._replace(program=program_id),
         )
@@ -138,8 +148,8 @@
     def choose_owner(self, request: BeginProgram) -> str:
         """Choose an owner in the region that has most hosts of the upstreams.
 
-        There, commits and dispatches have short round trips, while the link between
-        regions is slow, narrow and paid by volume.
+        There, commits and dispatches have short round trips. The link between
+        regions has a high latency and little bandwidth, and is billed by volume.
 
         Returns:
             The owner's incarnation; this entry's if no other region has more hosts.
@@ -176,7 +186,7 @@
                 await self.wait_or_give_up(give_up_at_ms, error)
 
     async def claim_at_registrar(self, message: ClaimKey) -> str:
-        """Claim a key at its present registrar and return the key's program."""
+        """Claim a key at its current registrar and return the key's program."""
         registrar = self.rank_registrars(message)[0]
         if registrar.incarnation == self.incarnation:
             return await self.claim_here(message)
@@ -223,18 +233,18 @@
         """
         own_record = self.directory.records.get(self.incarnation)
         lookup = message._replace(program='')
-        older_registrars = [
+        earlier_registrars = [
             record
             for record in self.rank_registrars(message)
             if own_record is not None
             and record.incarnation != self.incarnation
             and record.started_ms <= own_record.started_ms
         ]
-        for record in older_registrars[:MAX_OLDER_REGISTRARS]:
+        for record in earlier_registrars[:MAX_EARLIER_REGISTRARS]:
             try:
                 claim = await self.peers(record.address).request(
                     lookup,
-                    CLAIM_TIMEOUT_MS,
+                    CLAIM_LOOKUP_TIMEOUT_MS,
                 )
             except (ConnectionLost, Refusal):
                 continue
@@ -265,10 +275,10 @@
         deadline_ms: float,
         give_up_at_ms: float,
     ) -> AsyncIterator[Tokens | Answer]:
-        """Run a call at the present owner until one answers.
+        """Run a call at the program's current owner, again until one answers.
 
-        As `give_up_at_ms` is put off at each error, the retries are ended only by
-        an owner that answers or by the caller.
+        After each error, the time to give up is at least `OWNER_PAUSE_MS` away. So
+        the retries end only if an owner answers or refuses, or the caller leaves.
 
         Args:
             request: the call.
@@ -292,7 +302,7 @@
                 return
 
     async def call_once(self, request: CallProgram) -> AsyncIterator[Tokens | Answer]:
-        """Run a call once at the present owner, here or at another entry."""
+        """Run a call once at the current owner, here or at another entry."""
         if self.is_owned_here(request.program):
             source = self.owner.call(request)
         else:
@@ -317,8 +327,8 @@
             raise OwnerUnreachable() from error
         await self.clock.sleep_ms(OWNER_PAUSE_MS)
 
-    async def ask_until_answered(self, program_id: str, message: Any) -> View:
-        """Send a question to a program's owner and, after a takeover, its successor.
+    async def request_until_answered(self, program_id: str, message: Any) -> View:
+        """Send a request to a program's owner and, after a takeover, its successor.
 
         Raises:
             OwnerUnreachable: no owner answered in time.
@@ -326,12 +336,12 @@
         give_up_at_ms = self.clock.now_ms() + OWNER_WAIT_MS
         while True:
             try:
-                return await self.ask_present_owner(program_id, message)
+                return await self.request_from_owner(program_id, message)
             except OWNER_MOVED_ERRORS as error:
                 await self.wait_or_give_up(give_up_at_ms, error)
 
-    async def ask_present_owner(self, program_id: str, message: Any) -> View:
-        """Send a question to a program's present owner once."""
+    async def request_from_owner(self, program_id: str, message: Any) -> View:
+        """Send a request to a program's current owner once."""
         if self.is_owned_here(program_id):
             return await self.answer(message)
         owner_record = await self.find_owner(program_id)
@@ -345,7 +355,7 @@
         raise unknown_program(program_id)
 
     async def answer(self, message: Any) -> View:
-        """Answer a question about a program that this entry owns."""
+        """Handle a request to begin, end or view a program that this entry owns."""
         if isinstance(message, BeginProgram):
             return View(view_program(await self.owner.program_creator.create(message)))
         if isinstance(message, EndProgram):
@@ -360,6 +370,6 @@
         """View or end a program at its owner, or view one of its calls."""
         self.open_requests += 1
         try:
-            return await self.ask_until_answered(message.program, message)
+            return await self.request_until_answered(message.program, message)
         finally:
             self.open_requests -= 1
--- a/pollenwalk/request/stream.py
+++ b/pollenwalk/request/stream.py
@@ -10,8 +10,8 @@
     """A list of tokens that any number of followers read while it grows.
 
     Attributes:
-        texts: the tokens of the present attempt.
-        attempt: number of times that a new attempt has discarded tokens.
+        texts: the tokens of the current attempt.
+        restarts: number of times that a new attempt has discarded tokens.
         ended: whether no more tokens come.
         followers: number of followers that read now.
         changed: set, and replaced by a new event, at each change.
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         """Start without tokens."""
         self.texts: list[str] = []
-        self.attempt = 0
+        self.restarts = 0
         self.ended = False
         self.followers = 0
         self.changed = asyncio.Event()
@@ -45,10 +45,13 @@
         self.wake_followers()
 
     def restart(self) -> None:
-        """Discard the tokens, since those of a new attempt may differ."""
+        """Discard the tokens, since those of a new attempt may differ.
+
+        Followers start again at offset 0 when the next token arrives.
+        """
         if self.texts:
             self.texts = []
-            self.attempt += 1
+            self.restarts += 1
 
     def wake_followers(self) -> None:
         """Wake the followers to read what has changed."""
@@ -62,11 +65,11 @@
         yielded before.
         """
         self.followers += 1
-        attempt = self.attempt
+        restarts = self.restarts
         try:
             while True:
-                if attempt != self.attempt:
-                    attempt = self.attempt
+                if restarts != self.restarts:
+                    restarts = self.restarts
                     offset = 0
                 if offset < len(self.texts):
                     new_texts = self.texts[offset:]
