--- a/pollenwalk/process/call_placer.py
+++ b/pollenwalk/process/call_placer.py
@@ -9,7 +9,7 @@
 )
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.host_table import SMOOTHING, HostState, HostTable
-from pollenwalk.request.call_state import Call
+from pollenwalk.request.gateway_call import Call
 
 # Expected run time of a call on an idle host until one has been measured.
 DEFAULT_RUN_MS = 150.0
--- a/pollenwalk/process/gateway.py
+++ b/pollenwalk/process/gateway.py
@@ -23,7 +23,7 @@
 from pollenwalk.process.store import ObjectStore
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.request.call_sender import ForwardingContext
-from pollenwalk.request.call_state import Call, call_deadline_at_ms
+from pollenwalk.request.gateway_call import Call, call_deadline_at_ms
 from pollenwalk.request.http_messages import Request
 from pollenwalk.request.program_turn import ProgramTurn
 from pollenwalk.request.reply import Reply
--- a/pollenwalk/request/call_sender.py
+++ b/pollenwalk/request/call_sender.py
@@ -19,8 +19,8 @@
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.gateway_metrics import GatewayMetrics
 from pollenwalk.process.host_table import HostState
-from pollenwalk.request.call_state import Call
 from pollenwalk.request.exchange import Exchange
+from pollenwalk.request.gateway_call import Call
 from pollenwalk.request.http_messages import Headers
 
 # Share of the route's target time during which hosts that have all refused a call
--- a/pollenwalk/request/program_turn.py
+++ b/pollenwalk/request/program_turn.py
@@ -11,8 +11,8 @@
 from pollenwalk.process.keeper_group import KeeperGroup
 from pollenwalk.program.turn_index import build_prompt
 from pollenwalk.program.turns import SettleTokens, TurnRecord
-from pollenwalk.request.call_state import Call
 from pollenwalk.request.event_stream import Event
+from pollenwalk.request.gateway_call import Call
 from pollenwalk.request.reservation import Reservation
 
 
--- a/pollenwalk/request/reservation.py
+++ b/pollenwalk/request/reservation.py
@@ -16,7 +16,7 @@
     fits_with_hidden_turns,
 )
 from pollenwalk.program.turns import ReserveTokens, Spent, TokenEntry
-from pollenwalk.request.call_state import Call
+from pollenwalk.request.gateway_call import Call
 
 
 class Reservation:
--- a/pollenwalk/request/streaming.py
+++ b/pollenwalk/request/streaming.py
@@ -7,9 +7,9 @@
 from pollenwalk.errors import BrokenAnswer
 from pollenwalk.process.clock import MS_PER_SECOND
 from pollenwalk.request.call_sender import CallSender, ForwardingContext
-from pollenwalk.request.call_state import Call
 from pollenwalk.request.event_stream import Event, EventSplitter
 from pollenwalk.request.exchange import Exchange
+from pollenwalk.request.gateway_call import Call
 from pollenwalk.request.reply import Reply
 
 
--- a/pollenwalk/request/unary.py
+++ b/pollenwalk/request/unary.py
@@ -2,8 +2,8 @@
 
 from pollenwalk.errors import BrokenAnswer, Outcome, Refusal, RefusalCode
 from pollenwalk.request.call_sender import CallSender, ForwardingContext
-from pollenwalk.request.call_state import Call
 from pollenwalk.request.exchange import Exchange
+from pollenwalk.request.gateway_call import Call
 from pollenwalk.request.reply import Reply
 
 
--- a/test/request/test_forwarding.py
+++ b/test/request/test_forwarding.py
@@ -16,7 +16,7 @@
 from pollenwalk.process.gateway_metrics import GatewayMetrics
 from pollenwalk.process.host_table import HostTable
 from pollenwalk.request.call_sender import ForwardingContext
-from pollenwalk.request.call_state import Call
+from pollenwalk.request.gateway_call import Call
 from pollenwalk.request.http_messages import Headers, Request, RequestMetadata
 from pollenwalk.request.streaming import StandaloneTurn, run_stream
 from pollenwalk.request.unary import run_unary
--- a/test/request/test_program_turn.py
+++ b/test/request/test_program_turn.py
@@ -10,8 +10,8 @@
 from pollenwalk.process.keeper_group import KeeperGroup
 from pollenwalk.process.keeper_members import Member
 from pollenwalk.program.turns import SettleTokens
-from pollenwalk.request.call_state import Call
 from pollenwalk.request.event_stream import Event
+from pollenwalk.request.gateway_call import Call
 from pollenwalk.request.http_messages import Request, RequestMetadata
 from pollenwalk.request.program_turn import ProgramTurn
 from pollenwalk.request.reservation import Reservation
