--- a/pollenwalk/policy/host_choice.py
+++ b/pollenwalk/policy/host_choice.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable
 from typing import NamedTuple, Protocol
 
-# Round trips to hosts outside the gateway's zone. They are assumed, as the gateway
-# does not measure them.
+# Round trips to hosts outside the gateway's zone. They are assumed, as the policy
+# is given no measured ones.
 SAME_REGION_ROUND_TRIP_MS = 1.0
 CROSS_REGION_ROUND_TRIP_MS = 60.0
 # Estimates that exceed the best one by no more than this count as equal to it.
@@ -46,7 +46,7 @@
     Attributes:
         run_ms: expected run time at an idle host.
         prompt_tokens: tokens of the prompt; prefill computes those not cached.
-        read_ms_per_token: time to compute one token of the prompt.
+        prefill_ms_per_token: time to compute one token of the prompt.
     """
 
     run_ms: float
--- a/pollenwalk/policy/placement.py
+++ b/pollenwalk/policy/placement.py
@@ -85,7 +85,7 @@
     """Chooses the host that is expected to finish the call first.
 
     Prefill is weighted higher than the time it takes, because all other calls at
-    the host wait while a prompt that another host has cached is computed again.
+    the host wait while one program's prompt is computed again.
     """
 
     def __init__(self, prefill_weight: float = PREFILL_WEIGHT) -> None:
--- a/pollenwalk/policy/slot_queue.py
+++ b/pollenwalk/policy/slot_queue.py
@@ -9,7 +9,7 @@
 # A waiting call becomes one priority level more urgent each time it has waited for
 # this long.
 AGING_MS_PER_LEVEL = 10_000
-# Retry-After of calls that find the queue full.
+# Retry-After of calls that cannot join the queue.
 RETRY_AFTER_MS = 250
 
 
--- a/pollenwalk/request/attempts.py
+++ b/pollenwalk/request/attempts.py
@@ -54,7 +54,7 @@
 
     @property
     def priority(self) -> int:
-        """Return the priority level, which the program's priority class has."""
+        """Return the level of the program's priority class; lower levels run first."""
         declaration = self.context.config.program(self.program.declaration)
         name = declaration.priority if declaration else ''
         return self.context.config.priority_level(name)
--- a/pollenwalk/request/call.py
+++ b/pollenwalk/request/call.py
@@ -86,7 +86,7 @@
         self.stream.end()
 
     def fail(self, error: Exception) -> None:
-        """End the call for all who wait for it, with an error and without a record."""
+        """End the call with an error for all who wait for it; nothing is recorded."""
         if not self.done.done():
             self.done.set_exception(error)
             # Marks the exception as retrieved: asyncio logs it otherwise if nobody
