--- a/pollenwalk/process/keeper_group.py
+++ b/pollenwalk/process/keeper_group.py
@@ -146,7 +146,7 @@
         Raises:
             Refusal: a turn does not exist, or too few keepers answer to tell.
         """
-        found = self.cache.use_chain(turn)
+        found = self.cache.touch_chain(turn)
         turns = found.turns
         while found.missing:
             found = await self.find_chain(found.missing)
--- a/pollenwalk/process/keeper_state.py
+++ b/pollenwalk/process/keeper_state.py
@@ -111,7 +111,7 @@
 
     def chain(self, turn: str) -> Chain:
         """Return a turn and its predecessors, as far as this keeper has them."""
-        return self.turns.use_chain(turn)._replace(complete=self.complete)
+        return self.turns.touch_chain(turn)._replace(complete=self.complete)
 
     def account_records(self) -> Iterator[bytes]:
         """Yield the encoded reservations and settlements of all accounts."""
--- a/pollenwalk/process/program_creator.py
+++ b/pollenwalk/process/program_creator.py
@@ -172,7 +172,7 @@
             request.key,
             request.parent or '',
             limit,
-            Budget(limit).cap_reserve_ahead(spec.reserve_tokens),
+            Budget(limit).cap_advance_reservation(spec.reserve_tokens),
             min(request.deadline_ms or spec.deadline_ms, spec.deadline_ms),
         )
         pending_program = PendingProgram(program_id, self.record_creation(record))
--- a/pollenwalk/process/recovery.py
+++ b/pollenwalk/process/recovery.py
@@ -37,7 +37,7 @@
         """
         for program in programs:
             live = self.owner.find(program.id)
-            live.doubtful_sequence = program.next_sequence
+            live.maybe_ran_sequence = program.next_sequence
             for intent in list(program.intents.values()):
                 call = LiveCall(rebuild_request(intent), self.context.clock)
                 live.calls[intent.key] = call
--- a/pollenwalk/process/sidecar_histories.py
+++ b/pollenwalk/process/sidecar_histories.py
@@ -2,7 +2,7 @@
 
 from pollenwalk.connection.wire import Answer, Dispatch, HistoryItem
 from pollenwalk.errors import Refusal, RefusalCode
-from pollenwalk.program.history import EMPTY_DIGEST, History, chat_history_items
+from pollenwalk.program.history import EMPTY_DIGEST, History, model_history_items
 
 MAX_PROGRAMS = 4096
 
@@ -63,7 +63,7 @@
         """
         history = self.histories.get(message.program)
         if history is not None and history.digest == message.digest:
-            history.extend(chat_history_items(message.argument, answer))
+            history.extend(model_history_items(message.argument, answer))
 
     def drop(self, program: str) -> None:
         """Drop the history of a program."""
--- a/pollenwalk/program/budget.py
+++ b/pollenwalk/program/budget.py
@@ -8,7 +8,7 @@
 
 from typing import NamedTuple
 
-RESERVE_AHEAD_DIVISOR = 10
+ADVANCE_RESERVATION_DIVISOR = 10
 
 
 class Budget(NamedTuple):
@@ -36,13 +36,13 @@
         """Return the tokens that the program's own calls may still spend."""
         return self.free + self.reserved
 
-    def cap_reserve_ahead(self, amount: int) -> int:
+    def cap_advance_reservation(self, amount: int) -> int:
         """Limit an advance reservation to a tenth of the budget.
 
         A takeover counts the reservation as spent, so a large one would
         cost the program too much.
         """
-        return min(amount, self.limit // RESERVE_AHEAD_DIVISOR)
+        return min(amount, self.limit // ADVANCE_RESERVATION_DIVISOR)
 
     def reserve(self, amount: int) -> 'Budget':
         """Set the reservation to `amount`, or to all that is left if less."""
--- a/pollenwalk/program/history.py
+++ b/pollenwalk/program/history.py
@@ -69,7 +69,7 @@
     return len(text.split())
 
 
-def chat_history_items(argument: dict[str, Any], answer: Answer) -> list[HistoryItem]:
+def model_history_items(argument: dict[str, Any], answer: Answer) -> list[HistoryItem]:
     """Return the history items that a model call adds."""
     return [
         HistoryItem('user', str(argument.get('message', ''))),
--- a/pollenwalk/program/live.py
+++ b/pollenwalk/program/live.py
@@ -34,7 +34,7 @@
         counted_tokens: estimated tokens of these items.
         maybe_ran_keys: keys of repeatable calls of which an attempt may have
             run, as the keys of an ordered set.
-        doubtful_sequence: sequence number of the first call after a takeover;
+        maybe_ran_sequence: sequence number of the first call after a takeover;
             0 if there was none.
         ending: whether the program is being ended.
         begun_ms: when this owner began or took over the program.
@@ -54,7 +54,7 @@
         self.counted_items = 0
         self.counted_tokens = 0
         self.maybe_ran_keys: dict[str, None] = {}
-        self.doubtful_sequence = 0
+        self.maybe_ran_sequence = 0
         self.ending = False
         self.begun_ms = clock.now_ms()
         self.last_used_ms = self.begun_ms
@@ -77,7 +77,7 @@
         """
         return (
             request.key in self.maybe_ran_keys
-            or request.sequence == self.doubtful_sequence
+            or request.sequence == self.maybe_ran_sequence
         )
 
     def notify_waiting_calls(self) -> None:
@@ -97,7 +97,7 @@
             raise Refusal(RefusalCode.PROGRAM_ENDED, 'the program has ended')
         if self.is_overdue():
             raise Refusal(RefusalCode.DEADLINE, "the program's deadline has passed")
-        if request.sequence < program.next_sequence or self.is_taken(request):
+        if request.sequence < program.next_sequence or self.is_sequence_taken(request):
             raise Refusal(
                 RefusalCode.SEQUENCE_TAKEN,
                 f'another call has sequence {request.sequence}',
@@ -109,7 +109,7 @@
         """Return whether the deadline has passed; a takeover starts it again."""
         return self.clock.now_ms() - self.begun_ms > self.program.deadline_ms
 
-    def is_taken(self, request: CallProgram) -> bool:
+    def is_sequence_taken(self, request: CallProgram) -> bool:
         """Return whether a call with the same sequence number waits or runs."""
         return any(
             call.request.sequence == request.sequence for call in self.calls.values()
--- a/pollenwalk/program/turn_index.py
+++ b/pollenwalk/program/turn_index.py
@@ -44,11 +44,11 @@
         if is_new:
             self.records[record.turn] = record
             self.size_bytes += record.size_bytes
-        self.use_chain(record.turn)
+        self.touch_chain(record.turn)
         self.evict()
         return is_new
 
-    def use_chain(self, turn: str) -> Chain:
+    def touch_chain(self, turn: str) -> Chain:
         """Return a turn and its predecessors, and mark them as just used."""
         now_ms = self.clock.now_ms()
         found: list[TurnRecord] = []
--- a/pollenwalk/request/execution.py
+++ b/pollenwalk/request/execution.py
@@ -10,7 +10,7 @@
 from pollenwalk.errors import ConnectionLost, Outcome, Refusal, RefusalBody, RefusalCode
 from pollenwalk.policy.placement import HostView
 from pollenwalk.process.recorder import store_unavailable
-from pollenwalk.program.history import chat_history_items, service_history_items
+from pollenwalk.program.history import model_history_items, service_history_items
 from pollenwalk.program.live import LiveProgram
 from pollenwalk.program.program import FinishedCall
 from pollenwalk.program.records import (
@@ -321,7 +321,7 @@
         """Return the tokens to reserve for the program's next call."""
         budget = self.program.budget
         if self.is_model:
-            return budget.cap_reserve_ahead(self.declaration.reserve_tokens)
+            return budget.cap_advance_reservation(self.declaration.reserve_tokens)
         return budget.reserved
 
     def history_entries(self, answer: Answer | None) -> list[HistoryItem]:
@@ -329,7 +329,7 @@
         if answer is None:
             return []
         if self.is_model:
-            return chat_history_items(self.request.argument, answer)
+            return model_history_items(self.request.argument, answer)
         return service_history_items(
             self.request.operation, self.request.argument, answer
         )
--- a/standin/caller.py
+++ b/standin/caller.py
@@ -13,7 +13,7 @@
 from pollenwalk.connection.wire import Answer, HistoryItem
 from pollenwalk.errors import ConnectionLost, Outcome, Refusal
 from pollenwalk.process.clock import Clock
-from pollenwalk.program.history import chat_history_items, service_history_items
+from pollenwalk.program.history import model_history_items, service_history_items
 from standin.door import BeginSpec, CallSpec, Door
 from standin.engine import prompt_digest
 from standin.ledger import Ledger
@@ -260,7 +260,7 @@
         output = Answer(made.answer['output'])
         if made.step.operation == 'chat':
             self.check_chat(made)
-            self.history.extend(chat_history_items(made.spec.argument, output))
+            self.history.extend(model_history_items(made.spec.argument, output))
             return
         if made.answer['output'].get('input') != made.spec.argument:
             self.tally.mixed.append(made.tag)
