--- a/pollenwalk/program/ledger.py
+++ b/pollenwalk/program/ledger.py
@@ -93,23 +93,23 @@
     """How a turn's reservation compares with the program's budget.
 
     Attributes:
-        others: tokens spent or reserved by all other turns of the program.
-        unsettled: the part of `others` that is only reserved.
-        fits: whether the budget covers `others` and the turn's `max_tokens`.
+        other_tokens: tokens spent or reserved by all other turns of the program.
+        unsettled_tokens: the part of `other_tokens` that is only reserved.
+        fits: whether the budget covers `other_tokens` and the turn's `max_tokens`.
     """
 
-    others: int
-    unsettled: int
+    other_tokens: int
+    unsettled_tokens: int
     fits: bool
 
     @property
     def settled_tokens(self) -> int:
         """Return the tokens that other, settled turns have spent."""
-        return self.others - self.unsettled
+        return self.other_tokens - self.unsettled_tokens
 
 
 def decide_reservation(
-    known: Iterable[Iterable[TokenEntry]],
+    entries_by_keeper: Iterable[Iterable[TokenEntry]],
     turn: str,
     max_tokens: int,
     budget: int,
@@ -119,19 +119,23 @@
     A settled entry takes precedence over a reserved one of the same turn.
 
     Args:
-        known: the entries that each keeper returned.
+        entries_by_keeper: the entries that each keeper returned.
         turn: id of the turn that is to run.
         max_tokens: the most tokens that the turn may generate.
         budget: tokens that all turns of the program may generate.
     """
     merged: dict[str, TokenEntry] = {}
-    for entry in itertools.chain.from_iterable(known):
+    for entry in itertools.chain.from_iterable(entries_by_keeper):
         if entry.settled or entry.turn not in merged:
             merged[entry.turn] = entry
     merged.pop(turn, None)
-    others = sum(other.tokens for other in merged.values())
-    unsettled = sum(other.tokens for other in merged.values() if not other.settled)
-    return BudgetDecision(others, unsettled, others + max_tokens <= budget)
+    other_tokens = sum(other.tokens for other in merged.values())
+    unsettled_tokens = sum(
+        other.tokens for other in merged.values() if not other.settled
+    )
+    return BudgetDecision(
+        other_tokens, unsettled_tokens, other_tokens + max_tokens <= budget
+    )
 
 
 class AnswerCount(NamedTuple):
@@ -185,11 +189,11 @@
         answer_count: how many keepers have answered.
     """
     if answer_count.is_majority:
-        unseen = decision.unsettled
-    elif decision.unsettled or answer_count.hidden_from_majority > 1:
+        unseen = decision.unsettled_tokens
+    elif decision.unsettled_tokens or answer_count.hidden_from_majority > 1:
         return False
     else:
         # Counts the other turns that this one can't see, less the one turn
         # that may exceed the budget.
         unseen = max(answer_count.disjoint_turns - 2, 0) * max_tokens
-    return decision.others + max_tokens + unseen <= budget
+    return decision.other_tokens + max_tokens + unseen <= budget
