--- a/pollenwalk/platform/objects.py
+++ b/pollenwalk/platform/objects.py
@@ -154,7 +154,7 @@
             raise StoreConflict(f'{key} exists already')
         return decode_object(key, answer['body']).version
 
-    async def report(self, key: str, status: dict[str, Any]) -> None:
+    async def write_status(self, key: str, status: dict[str, Any]) -> None:
         """Write the status of an object whose `spec` another process writes.
 
         Raises:
--- a/pollenwalk/process/acceptance.py
+++ b/pollenwalk/process/acceptance.py
@@ -18,7 +18,7 @@
 from pollenwalk.process.store import ABSENT, ObjectStore, StoredObject
 from pollenwalk.version.config import (
     Accepted,
-    Configuration,
+    AcceptedResources,
     spec_to_json,
     undeclared_references,
 )
@@ -98,7 +98,7 @@
         self,
         store: ObjectStore,
         clock: Clock,
-        config: Configuration,
+        config: AcceptedResources,
     ) -> None:
         """Create a controller that applies accepted resources to `config`."""
         self.store = store
--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -47,7 +47,7 @@
 from pollenwalk.request.entry_context import EntryContext
 from pollenwalk.request.retry import RetryBudgets
 from pollenwalk.request.routing import Routing
-from pollenwalk.version.config import Accepted, Configuration
+from pollenwalk.version.config import Accepted, AcceptedResources
 from pollenwalk.version.resources import Kind, ResourceId
 
 ID_BITS = 48
@@ -103,7 +103,7 @@
         self.hosts = hosts
         self.placement = placement or ExpectedFinish()
         self.tasks = TaskSet()
-        self.config = Configuration()
+        self.config = AcceptedResources()
         self.acceptance = AcceptanceController(store, clock, self.config)
         self.fleet = Fleet(clock, settings.regions)
         self.config.on_accept = self.push_upstream_config
--- a/pollenwalk/process/retirement.py
+++ b/pollenwalk/process/retirement.py
@@ -37,7 +37,7 @@
 class StatusStore(ObjectStore, Protocol):
     """A store in which a process can write the status of objects of others."""
 
-    async def report(self, key: str, status: dict[str, Any]) -> None:
+    async def write_status(self, key: str, status: dict[str, Any]) -> None:
         """Write the status of an object.
 
         Raises:
@@ -100,7 +100,7 @@
         """Write the status, however long the store is unavailable."""
         status = retirement_status(done)
         await self.keeper.retry_until_acknowledged(
-            lambda: self.store.report(self.key, status)
+            lambda: self.store.write_status(self.key, status)
         )
 
     async def replicate_elsewhere(self) -> bool:
--- a/pollenwalk/request/entry_context.py
+++ b/pollenwalk/request/entry_context.py
@@ -10,7 +10,7 @@
 from pollenwalk.process.traces import Tracer
 from pollenwalk.process.witness import PeerSource
 from pollenwalk.request.retry import RetryBudgets
-from pollenwalk.version.config import Configuration
+from pollenwalk.version.config import AcceptedResources
 
 
 class EntryContext(NamedTuple):
@@ -34,7 +34,7 @@
     clock: Clock
     rng: random.Random
     location: Location
-    config: Configuration
+    config: AcceptedResources
     fleet: Fleet
     peers: PeerSource
     placement: Placement
--- a/pollenwalk/version/config.py
+++ b/pollenwalk/version/config.py
@@ -37,7 +37,7 @@
     spec: dict[str, Any] | None
 
 
-class Configuration:
+class AcceptedResources:
     """All resources that are in force in one process.
 
     Attributes:
@@ -106,7 +106,7 @@
     return msgspec.to_builtins(spec._asdict())
 
 
-def undeclared_references(resource: Resource, config: Configuration) -> list[str]:
+def undeclared_references(resource: Resource, config: AcceptedResources) -> list[str]:
     """Return a message for each upstream of a program that is not declared."""
     spec = resource.spec
     if not isinstance(spec, ProgramSpec):
--- a/test/platform/test_objects.py
+++ b/test/platform/test_objects.py
@@ -76,7 +76,7 @@
     @on_loop
     async def test_report_of_a_status(self) -> None:
         async with running() as (api, store):
-            await store.report('retirements/k', {'state': 'running'})
+            await store.write_status('retirements/k', {'state': 'running'})
             self.assertEqual({'state': 'running'}, api.statuses['retirements/k'])
 
 
--- a/test/process/test_keepers.py
+++ b/test/process/test_keepers.py
@@ -36,7 +36,7 @@
 
     statuses: dict[str, Any]
 
-    async def report(self, key: str, status: dict[str, Any]) -> None:
+    async def write_status(self, key: str, status: dict[str, Any]) -> None:
         """Keep a status."""
         await self.before_write()
         self.statuses[key] = status
