--- a/pollenwalk/errors.py
+++ b/pollenwalk/errors.py
@@ -7,6 +7,8 @@
 import enum
 from typing import NamedTuple
 
+# Delay after which a caller is told to retry when a program's owner does not
+# answer.
 OWNER_RETRY_MS = 1000
 
 
@@ -19,10 +21,10 @@
 
 
 class PollenwalkError(Exception):
-    """Base class of the errors that this program raises itself.
+    """Base class of the errors that pollenwalk itself raises.
 
     Attributes:
-        code: a stable word that programs can compare.
+        code: a stable identifier for use by software.
         message: a text for people, which may change.
     """
 
@@ -82,8 +84,8 @@
     Attributes:
         code: the reason.
         outcome: whether the call ran.
-        retry_after_ms: time after which the caller may try again; None if
-            that is of no use.
+        retry_after_ms: delay after which the caller may try again; None if
+            trying again does not help.
     """
 
     def __init__(
@@ -157,13 +159,13 @@
 
 
 class StoreConflict(PollenwalkError):
-    """The object does not have the version that a conditional write requires."""
+    """The store refused a write, such as one for another version of the object."""
 
     code = 'store_conflict'
 
 
 class StoreHistoryGone(StoreUnavailable):
-    """The store no longer has the changes after a revision; list all objects."""
+    """The store no longer has the changes after a revision; a new scan is needed."""
 
     code = 'store_history_gone'
 
@@ -175,7 +177,7 @@
 
 
 class ConnectionLost(PollenwalkError):
-    """A peer does not answer, or its connection ended before the answer did."""
+    """A peer does not answer, or the connection ended before the answer was complete."""
 
     code = 'connection_lost'
 
@@ -187,17 +189,21 @@
 
 
 class BrokenAnswer(PollenwalkError):
-    """An upstream host's answer is incomplete; the request may have run."""
+    """An upstream host's answer is incomplete or invalid; the request may have run."""
 
     code = 'broken_answer'
 
 
 class Fenced(PollenwalkError):
-    """A successor has sealed this incarnation's journal and owns its programs."""
+    """A successor owns this incarnation's programs, or is about to take them over.
+
+    A takeover seals the incarnation's journal; before a planned hand-over the
+    owner itself raises the error.
+    """
 
     code = 'fenced'
 
 
 def fenced_error() -> Fenced:
-    """Make the error by which a request is passed on to the successor."""
+    """Make the error after which a request is sent again, to the successor."""
     return Fenced('a successor owns the programs of this incarnation')
--- a/pollenwalk/program/budget.py
+++ b/pollenwalk/program/budget.py
@@ -1,8 +1,8 @@
 """A program's token budget.
 
-Tokens are reserved in the journal before a model call starts. The record that
-finishes a call also makes the reservation for the next one, so each call costs
-one commit. After a crash an unused reservation counts as spent: a program may
+A reservation is recorded in the journal before a model call starts. The record
+that finishes a call also makes the reservation for the next one, so each call
+costs one commit. After a crash an unused reservation counts as spent: a program may
 lose tokens, but can never spend more than its limit.
 """
 
--- a/pollenwalk/program/history.py
+++ b/pollenwalk/program/history.py
@@ -1,8 +1,8 @@
 """A program's history as a digest chain.
 
 The digest of each item covers all items before it. Two processes that have the
-same digest therefore have the same history, and an item of another program
-can't get in unnoticed.
+same digest therefore have the same history, and a digest shows if an item of
+another program was added by mistake.
 """
 
 import hashlib
@@ -56,7 +56,7 @@
             self.digests.append(extend_digest(self.digest, item))
 
     def since(self, digest: str) -> list[HistoryItem] | None:
-        """Return the items after a digest; None if this history lacks it."""
+        """Return the items after a digest; None if the digest is not one of `digests`."""
         try:
             position = self.digests.index(digest)
         except ValueError:
--- a/pollenwalk/program/ledger.py
+++ b/pollenwalk/program/ledger.py
@@ -1,8 +1,8 @@
 """Accounts of the tokens that the turns of programs reserve and spend.
 
-A turn reserves the most tokens that it may generate before it runs. Every
-keeper counts this figure until the turn is settled with the tokens that it
-generated. A gateway merges the accounts of a majority of the keepers. Any two
+Before a turn runs, it reserves the largest number of tokens that it may
+generate. Every keeper counts this reservation until the turn is settled with
+the number of tokens that it generated. A gateway merges the accounts of a majority of the keepers. Any two
 majorities have a keeper in common, so of any two turns at least one sees the
 other.
 """
@@ -45,7 +45,7 @@
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Start without accounts; `clock` tells when one was last used."""
+        """Start without accounts; times of last use are read from `clock`."""
         self.clock = clock
         self.accounts: dict[str, Account] = {}
 
@@ -156,15 +156,15 @@
 
     @property
     def disjoint_turns(self) -> int:
-        """Return how many turns can have as many answers without a common keeper.
+        """Return how many turns can each have this many answers and no common keeper.
 
-        Such turns do not see each other.
+        Such turns do not see each other's reservations.
         """
         return self.keepers // self.answers
 
     @property
     def hidden_from_majority(self) -> int:
-        """Return how many of these turns a majority of keepers may not know."""
+        """Return how many such turns can be unknown to a majority of the keepers."""
         minority = (self.keepers - 1) // 2
         return minority // self.answers
 
@@ -176,8 +176,9 @@
 
     Turns that are reserved at the same moment may reach the keepers in
     different orders. With answers of a majority, of any two turns at least one
-    sees the other. Headroom as large as the unsettled tokens makes up for the
-    turns that this one does not see because they saw it first. With fewer
+    sees the other. The turns that this one does not see have all seen this one.
+    To allow for them, as many tokens of the budget must be free as other turns
+    have reserved and not settled. With fewer
     answers a turn begins only if it sees no other unsettled turn, and only if
     at most one such turn can be hidden from a majority. A program therefore
     exceeds its budget by the `max_tokens` of at most one turn.
@@ -193,7 +194,7 @@
     elif decision.unsettled_tokens or answer_count.hidden_from_majority > 1:
         return False
     else:
-        # Counts the other turns that this one can't see, less the one turn
-        # that may exceed the budget.
+        # Of the turns that can't see each other, this one is counted below and
+        # one may exceed the budget, hence 2 less.
         unseen = max(answer_count.disjoint_turns - 2, 0) * max_tokens
     return decision.other_tokens + max_tokens + unseen <= budget
--- a/pollenwalk/program/live.py
+++ b/pollenwalk/program/live.py
@@ -11,6 +11,8 @@
 
 # How long a call waits for an earlier call that has not arrived.
 GAP_WAIT_MS = 5000
+# Delay after which a caller is told to retry a call that was refused as an
+# earlier one has not arrived.
 GAP_RETRY_MS = 1000
 # How far a call's sequence number may be ahead of the next call in order.
 MAX_SEQUENCES_AHEAD = 64
@@ -26,20 +28,20 @@
         program: the durable state.
         calls: calls that wait or run, by the caller's key.
         tasks: the tasks of these calls, by the caller's key.
-        sidecar_digests: digest of the history that each sidecar has, by
-            sidecar.
-        cached_tokens: history tokens in the memory of each sidecar's engine,
-            by sidecar.
+        sidecar_digests: digest of the history that a sidecar has, by sidecar
+            id.
+        cached_tokens: estimated history tokens in the memory of a sidecar's
+            engine, by sidecar id.
         counted_items: history items that `counted_tokens` covers.
         counted_tokens: estimated tokens of these items.
-        maybe_ran_keys: keys of repeatable calls of which an attempt may have
+        maybe_ran_keys: keys of idempotent calls of which an attempt may have
             run, as the keys of an ordered set.
-        maybe_ran_sequence: sequence number of the first call after a takeover;
-            0 if there was none.
+        maybe_ran_sequence: sequence number of the first call after a takeover,
+            which the previous owner may have run; 0 if there was no takeover.
         ending: whether the program is being ended.
         begun_ms: when this owner began or took over the program.
-        last_used_ms: when a call last arrived or ended.
-        changed: set when a call ends or the program is to end.
+        last_used_ms: when a call last arrived or finished.
+        changed: set when a call finishes or the program is to end.
     """
 
     def __init__(self, program: Program, clock: Clock) -> None:
@@ -70,10 +72,10 @@
         return self.counted_tokens
 
     def may_have_run(self, request: CallProgram) -> bool:
-        """Return whether an earlier attempt of a repeatable call may have run.
+        """Return whether an earlier attempt of an idempotent call may have run.
 
-        Attempts of such calls are not recorded, so after a takeover nobody
-        knows whether the dead owner had tried the first call.
+        Attempts of such calls are not recorded, so after a takeover it is not
+        known whether the previous owner had attempted the first call.
         """
         return (
             request.key in self.maybe_ran_keys
@@ -86,7 +88,7 @@
         self.changed = asyncio.Event()
 
     def admit(self, request: CallProgram) -> None:
-        """Check that a new call can take its place in the program's order.
+        """Check that the program runs and that a new call's sequence number is free.
 
         Raises:
             Refusal: the program has ended or exceeded its deadline, or the
@@ -106,7 +108,7 @@
             raise self.gap_refusal(request)
 
     def is_overdue(self) -> bool:
-        """Return whether the deadline has passed; a takeover starts it again."""
+        """Return whether the deadline has passed; a takeover restarts the period."""
         return self.clock.now_ms() - self.begun_ms > self.program.deadline_ms
 
     def is_sequence_taken(self, request: CallProgram) -> bool:
@@ -130,7 +132,7 @@
         )
 
     async def wait_for_predecessors(self, call: LiveCall) -> None:
-        """Wait until all earlier calls of the program have ended.
+        """Wait until all earlier calls of the program have finished.
 
         Raises:
             Refusal: an earlier call did not arrive within `GAP_WAIT_MS`, the
--- a/pollenwalk/program/program.py
+++ b/pollenwalk/program/program.py
@@ -25,7 +25,7 @@
 
 
 class FinishedCall(NamedTuple):
-    """An ended call whose answer or refusal is kept for repeats.
+    """A finished call; its answer or refusal is kept and returned to repeats.
 
     The fields are those of `Finished` with the same names.
     """
@@ -70,14 +70,14 @@
         caller: the caller that began it.
         key: the caller's idempotency key; empty if it gave none.
         parent: id of the parent program; empty if it has none.
-        deadline_ms: time that the whole program may take.
+        deadline_ms: the longest time that the whole program may take.
         budget: tokens that it has spent, reserved and left.
         next_sequence: sequence number of the next call in order.
         ended: whether the program has ended.
         history: the items that its calls have added.
-        finished: ended calls, by the caller's key.
+        finished: finished calls, by the caller's key.
         intents: non-idempotent calls that were handed to a sidecar, or were
-            about to be, and have not ended; by the caller's key.
+            about to be, and have not finished; by the caller's key.
         engine_sidecars: addresses of the sidecars whose engines hold memory
             for the program, as the keys of an ordered set.
         uncertain: whether the last records were lost with the owner and all
@@ -146,6 +146,7 @@
     def finish(self, record: Finished) -> None:
         """Keep a call's final answer or refusal and advance `next_sequence`."""
         self.intents.pop(record.key, None)
+        # The fields from `key` to `refusal`.
         self.finished[record.key] = FinishedCall(*record[1:8])
         self.next_sequence = max(self.next_sequence, record.sequence + 1)
         self.history.extend(record.entries)
@@ -175,8 +176,8 @@
     Attributes:
         programs: by program id.
         ids_by_key: program ids, by caller and the caller's key.
-        claims: ids of the programs that keys stand for, by caller and key;
-            a program may be at another owner.
+        claims: ids of the programs that idempotency keys belong to, by caller
+            and key; another owner may have the program.
     """
 
     def __init__(self) -> None:
--- a/pollenwalk/program/records.py
+++ b/pollenwalk/program/records.py
@@ -24,7 +24,7 @@
         parent: id of the parent program; empty if it has none.
         limit: tokens that the program may spend in total.
         reserve: tokens reserved for its first call.
-        deadline_ms: time that the whole program may take.
+        deadline_ms: the longest time that the whole program may take.
     """
 
     program: str
@@ -38,7 +38,7 @@
 
 
 class Claimed(NamedTuple):
-    """A caller's key stands for a program, which may be at another owner."""
+    """A caller's idempotency key belongs to a program, perhaps of another owner."""
 
     caller: str
     key: str
@@ -53,7 +53,10 @@
 
 
 class Forfeited(NamedTuple):
-    """An attempt was lost or cut short; its reservation counts as spent."""
+    """An attempt was lost or cut short, and its reservation counts as spent.
+
+    It is not known how many of the reserved tokens the attempt used.
+    """
 
     program: str
 
@@ -73,7 +76,7 @@
         operation: the upstream's operation.
         argument: input of the operation.
         address: address of the sidecar.
-        boot_id: id of the sidecar's start that is meant.
+        boot_id: id of the sidecar's start that the call is handed to.
         incarnation: id of the owner's start that hands the call over.
     """
 
@@ -221,6 +224,7 @@
 
     Raises:
         msgspec.DecodeError: the batch is not a valid list of records.
+        KeyError: the type of a record is unknown.
     """
     return [
         BODY_DECODERS[raw.kind].decode(raw.body) for raw in RAW_DECODER.decode(batch)
--- a/pollenwalk/program/turn_index.py
+++ b/pollenwalk/program/turn_index.py
@@ -5,8 +5,8 @@
 from pollenwalk.process.clock import Clock
 from pollenwalk.program.turns import Chain, TurnRecord
 
-# A turn is kept longer than its retention: the clocks of the keepers and the
-# times at which they last saw it used may differ by some seconds.
+# A turn is kept longer than its retention, as the keepers' clocks, and the times
+# of last use that they have recorded, may differ by some seconds.
 RETENTION_FACTOR = 1.5
 RETENTION_MARGIN_MS = 30_000.0
 
@@ -49,7 +49,10 @@
         return is_new
 
     def touch_chain(self, turn: str) -> Chain:
-        """Return a turn and its predecessors, and mark them as just used."""
+        """Return a turn and its predecessors, and mark them as just used.
+
+        The chain's `complete` is always True; a keeper replaces it by its own.
+        """
         now_ms = self.clock.now_ms()
         found: list[TurnRecord] = []
         missing = turn
--- a/pollenwalk/program/turns.py
+++ b/pollenwalk/program/turns.py
@@ -71,8 +71,8 @@
     """Confirms that records are on a keeper's disk.
 
     Attributes:
-        complete: whether the keeper can answer for the past: its records
-            were never lost, or were fetched again from other keepers.
+        complete: whether the keeper has all records that it should have: none
+            were lost, or the lost ones were fetched from other keepers.
     """
 
     complete: bool
@@ -90,7 +90,7 @@
     """The entries of all turns of a program that a keeper knows.
 
     Attributes:
-        complete: whether the keeper can answer for the past; see `Stored`.
+        complete: whether the keeper has all its records; see `Stored`.
         entries: one for each turn.
     """
 
@@ -108,7 +108,7 @@
     """A turn and its predecessors, the oldest first.
 
     Attributes:
-        complete: whether the keeper can answer for the past; see `Stored`.
+        complete: whether the keeper has all its records; see `Stored`.
         turns: the chain without gaps, up to the requested turn; empty if the
             keeper does not have that turn.
         missing: id of the turn before the first of `turns`, which the keeper
@@ -125,7 +125,7 @@
     """Asks a keeper for all accounts and for the turns with too few copies.
 
     Attributes:
-        lost: names of the keepers whose copies don't count.
+        lost: names of the keepers whose copies may be lost and don't count.
     """
 
     lost: list[str]
@@ -144,11 +144,11 @@
 
 
 class RecordBatch(NamedTuple):
-    """A batch of encoded records; there may be more.
+    """A batch of encoded records; a keeper's answer may have several batches.
 
     Attributes:
-        complete: whether the keeper can answer for the past; see `Stored`.
-        records: each in the form of a datagram.
+        complete: whether the keeper has all its records; see `Stored`.
+        records: each encoded like the payload of a datagram.
     """
 
     complete: bool
@@ -162,7 +162,7 @@
 
 
 class ListedObject(NamedTuple):
-    """An object of the store, in a listing that a keeper sends on."""
+    """An object of the store, in a listing that a keeper relays."""
 
     key: str
     body: bytes
--- a/pollenwalk/program/view.py
+++ b/pollenwalk/program/view.py
@@ -39,7 +39,7 @@
 
 
 def view_finished(call: FinishedCall) -> dict[str, Any]:
-    """Return an ended call without its answer, as a JSON object."""
+    """Return a finished call without its answer, as a JSON object."""
     return {
         'key': call.key,
         'sequence': call.sequence,
@@ -51,7 +51,7 @@
 
 
 def view_call(live: LiveProgram, key: str) -> dict[str, Any]:
-    """Return an ended call with its answer, or the state of a running one.
+    """Return a finished call with its answer, or the state of an unfinished one.
 
     Args:
         live: the program.
@@ -78,7 +78,7 @@
 
 
 def view_answer(finished: FinishedCall) -> dict[str, Any]:
-    """Return an ended call with its answer or refusal, as a JSON object."""
+    """Return a finished call with its answer or refusal, as a JSON object."""
     body = {**view_finished(finished), 'state': 'done'}
     if finished.answer is not None:
         body['output'] = finished.answer.output
@@ -89,7 +89,7 @@
 
 
 def problem_document(refusal: RefusalBody) -> dict[str, Any]:
-    """Return a refusal as a problem document without the HTTP status."""
+    """Return a refusal as a problem document without its HTTP status."""
     return {
         'title': refusal.message,
         'code': refusal.code,
