--- a/pollenwalk/platform/deploy_file.py
+++ b/pollenwalk/platform/deploy_file.py
@@ -12,7 +12,7 @@
     """A kind of process and the hosts that run it.
 
     Attributes:
-        name: pollenwalk's name of the role.
+        name: name of the role in pollenwalk, such as `gateway`.
         host_class: class of the hosts that run the role.
         template: the template of the role's settings file.
     """
--- a/pollenwalk/platform/documents.py
+++ b/pollenwalk/platform/documents.py
@@ -28,7 +28,7 @@
     'unsafe': CallKind.UNSAFE,
     'streaming': CallKind.STREAM,
 }
-# Whether an upstream host that reports a state accepts no new calls.
+# By the state that an upstream host reports: True if it accepts no new calls.
 LEAVING_BY_STATE = {'ready': False, 'draining': True}
 
 
@@ -96,8 +96,8 @@
 class WireServer(TypedDict):
     """The object of an upstream host.
 
-    `born` is the Unix time of the host's start and `cold_left_ms` how much
-    longer it is slow after it. The object's `version` is that of the host's
+    `born` is the Unix time of the host's start. `cold_left_ms` is the time for
+    which the host is still slow after the start. The object's `version` is that of the host's
     software and is not decoded.
     """
 
@@ -111,7 +111,10 @@
 
 
 class WireRetirement(TypedDict):
-    """A request to empty the keeper of a storage host within `duration_s`."""
+    """A request to retire the keeper of a storage host within `duration_s`.
+
+    A keeper that retires first copies its records to other keepers.
+    """
 
     duration_s: float
 
@@ -229,12 +232,12 @@
 
 
 def retirement_status(done: bool) -> dict[str, str]:
-    """Return the status of a request to empty a storage host."""
+    """Return the status of a request to retire a storage host's keeper."""
     return {'state': 'completed' if done else 'running'}
 
 
 def decode_retirement(key: str, body: bytes) -> float:
-    """Return the time in ms within which a storage host is to be emptied.
+    """Return the time in ms within which a storage host's keeper is to retire.
 
     Raises:
         MalformedObject: the body is not valid.
--- a/pollenwalk/platform/headers.py
+++ b/pollenwalk/platform/headers.py
@@ -19,7 +19,9 @@
 TOKEN_BUDGET = b'x-pollenwalk-token-budget'
 # The prompt's tokens and the most tokens to generate, separated by a comma.
 TOKEN_USAGE = b'x-pollenwalk-token-usage'
+# The caller's estimate of the number of tokens that will be generated.
 LENGTH_HINT = b'x-pollenwalk-length-hint'
+# Parts of the prompt, as `id:tokens` separated by commas.
 PROMPT_PARTS = b'x-pollenwalk-prompt-prefix'
 PREVIOUS_TURN = b'x-pollenwalk-previous-turn'
 LAST_EVENT_ID = b'last-event-id'
@@ -62,12 +64,17 @@
         b'kv-fetch',
     ),
 )
-# HTTP status of a host that is not the one a request was meant for.
+# HTTP status by which a host refuses a request that was meant for another host.
 MISDIRECTED = 421
 
 
 def read_request_metadata(headers: Iterable[tuple[bytes, bytes]]) -> RequestMetadata:
-    """Decode the headers of a caller's request; malformed numbers are ignored."""
+    """Decode the headers of a caller's request; malformed numbers are ignored.
+
+    Raises:
+        OverflowError: a whole number is given as infinite.
+        ValueError: a whole number is given as `nan`.
+    """
     found = {name: field.decode('latin-1').strip() for name, field in headers}
     prompt_tokens, max_tokens = read_pair(found.get(TOKEN_USAGE, ''))
     return RequestMetadata(
@@ -146,7 +153,7 @@
     """Return the headers that are added to a request for one upstream host.
 
     Args:
-        host: id of the host's start that the request is meant for.
+        host: the `UpstreamHost.id` that the request is meant for.
         deadline_ms: how long the host may work on the request.
         priority: from 0, the most urgent, to 9; None for the host's default.
     """
--- a/pollenwalk/platform/objects.py
+++ b/pollenwalk/platform/objects.py
@@ -51,7 +51,7 @@
 
 
 class WireEvent(TypedDict):
-    """A changed object; if `tombstone` is set, the object was deleted."""
+    """A change of an object; if `tombstone` is set, the object was deleted."""
 
     object: NotRequired[msgspec.Raw]
     tombstone: NotRequired[bool]
@@ -80,7 +80,7 @@
     """A client of the platform's object store; implements `ObjectStore`."""
 
     def make_connector(self) -> aiohttp.TCPConnector:
-        """Make a connector whose connections detect a store that has gone silent."""
+        """Make a connector with TCP keep-alive, to detect an unreachable store."""
         return aiohttp.TCPConnector(limit=0, socket_factory=make_socket)
 
     async def request(
@@ -226,7 +226,7 @@
 
 
 def make_socket(address: tuple[Any, ...]) -> socket.socket:
-    """Make a socket that detects a peer that has gone silent."""
+    """Make a socket with TCP keep-alive, to detect an unreachable peer."""
     new_socket = socket.socket(family=address[0], type=address[1], proto=address[2])
     new_socket.setblocking(False)
     enable_keepalive(new_socket)
--- a/pollenwalk/platform/templates.py
+++ b/pollenwalk/platform/templates.py
@@ -12,13 +12,14 @@
 from pollenwalk.errors import UserError
 from pollenwalk.version.fields import read_text
 
-# The body of a section appears once for each entry of a table, or once if the
-# name has a value, else not at all.
+# If the section's name is a table, the body is output once for each entry. If it
+# is a field or an item of a list, the body is output once if the value is not
+# empty.
 SECTION = re.compile(r'\{\{#([\w.]+)\}\}\n(.*?)\{\{/\1\}\}\n', re.DOTALL)
 PLACEHOLDER = re.compile(r'\{\{([\w.]+)\}\}')
 
 Fields = dict[str, str]
-# The field with the class of the host, which decides what roles run there.
+# The field with the host's class; the deploy file says which roles run on it.
 HOST_CLASS = 'machine_class'
 
 
--- a/pollenwalk/version/active_configuration.py
+++ b/pollenwalk/version/active_configuration.py
@@ -12,7 +12,7 @@
 
 
 class ActiveConfiguration:
-    """Keeps the newest version of the configuration that could be read.
+    """Keeps the newest version of the routing configuration that could be decoded.
 
     Attributes:
         current: the configuration in force; None until the first is read.
@@ -25,8 +25,8 @@
     def apply(self, stored: StoredObject) -> None:
         """Put a stored configuration in force if its version is newer.
 
-        Objects with other keys, deletions and unreadable configurations leave
-        the one in force as it is.
+        Objects with other keys, deletions and configurations that can't be
+        decoded leave the one in force as it is.
         """
         if stored.key != CONFIGURATION_KEY or not stored.body:
             return
--- a/pollenwalk/version/config.py
+++ b/pollenwalk/version/config.py
@@ -17,7 +17,7 @@
     UpstreamSpec,
 )
 
-# The level of priority classes that are not declared.
+# The level of a priority for which no Priority resource is declared.
 DEFAULT_LEVEL = 5
 
 
@@ -54,7 +54,7 @@
         self.on_accept: Callable[[Accepted], None] = lambda accepted: None
 
     def accept(self, accepted: Accepted) -> bool:
-        """Put a resource in force unless the same or a later version is.
+        """Put a resource in force unless its version, or a later one, already is.
 
         Returns:
             Whether the resource was put in force.
@@ -84,7 +84,7 @@
         return self.specs.get(ResourceId(Kind.BUDGET, caller)) or BudgetSpec()
 
     def priority_level(self, priority: str) -> int:
-        """Return the level of a priority class; a lower level is served first."""
+        """Return the level of a priority; calls of a lower level are served first."""
         spec = self.specs.get(ResourceId(Kind.PRIORITY, priority))
         return spec.level if isinstance(spec, PrioritySpec) else DEFAULT_LEVEL
 
--- a/pollenwalk/version/fields.py
+++ b/pollenwalk/version/fields.py
@@ -29,7 +29,7 @@
 
 
 class Problem(NamedTuple):
-    """One error in a file.
+    """One error in a file, with the place where it was found.
 
     Attributes:
         source: name of the file.
@@ -160,7 +160,7 @@
     """Parse an HTTP URL and remove slashes at its end.
 
     Raises:
-        ValueError: it is no http:// or https:// URL, or names no host.
+        ValueError: it is no http:// or https:// URL, or has no host.
     """
     parts = urlsplit(text)
     if parts.scheme not in {'http', 'https'} or not parts.netloc:
@@ -181,7 +181,7 @@
 
 
 class FieldError(NamedTuple):
-    """Stands in for the value of a key that can't be parsed."""
+    """The error of a key that can't be parsed; takes the place of its value."""
 
     text: str
 
--- a/pollenwalk/version/resources.py
+++ b/pollenwalk/version/resources.py
@@ -34,7 +34,9 @@
 
 
 class ProgramSpec(NamedTuple):
-    """The limits of a declared program. Each program that is begun is a run.
+    """The limits of a declared program, which apply to each of its runs.
+
+    A run is a program that a caller has begun.
 
     Attributes:
         upstreams: names of the upstreams that a run may call.
@@ -42,8 +44,8 @@
         reserve_tokens: tokens reserved in advance for the next model call.
         priority: name of the run's Priority resource.
         max_calls: the most calls that a run may make.
-        loop_limit: identical calls in a row after which a run is refused a
-            further one, as it seems to loop.
+        loop_limit: number of identical calls in a row after which the next
+            identical call is refused, as the run seems to loop.
         deadline_ms: the longest time that a run may take.
         idle_ms: time without a call after which a run is ended.
     """
@@ -68,7 +70,7 @@
         timeout_ms: the longest time that one call may take at the upstream.
         slots: calls that an upstream host runs at the same time.
         queue: the most calls that may wait at an upstream host.
-        prefill_ms: time an engine takes to process one prompt token.
+        prefill_ms: processing time of an engine per prompt token.
         decode_ms: time between two generated tokens of an answer.
     """
 
@@ -96,7 +98,7 @@
 
 
 class PrioritySpec(NamedTuple):
-    """A priority class; calls of a lower level are served first."""
+    """The level of a priority; calls of a lower level are served first."""
 
     level: int = 5
 
--- a/pollenwalk/version/routes.py
+++ b/pollenwalk/version/routes.py
@@ -28,20 +28,21 @@
     """The upstreams and the limits of calls to one host name and path.
 
     Attributes:
-        name: of the route.
+        name: name of the route.
         host: the host name that callers use, in lower case.
         path_prefix: beginning of the paths; it begins and ends with a slash.
         kind: how calls are answered and whether they may be repeated.
         timeout_ms: the longest time that a caller waits.
-        target_ms: latency target; an answer within it has its full value.
+        target_ms: latency target; an answer that takes longer is worth less to the
+            caller.
         pause_target_ms: target for the longest pause between two events of
             a stream; 0 if the route has none.
         priority: priority of the calls; 0 is the most urgent.
         shares: the upstreams that the calls are divided among.
         max_attempts: the most upstream hosts that may run one call.
         resumable: whether another host may continue an interrupted stream.
-        keeps_history: whether gateways store the turns and put the previous
-            ones in front of a new prompt.
+        keeps_history: whether gateways store the turns and prepend the previous
+            turns of a chain to the prompt.
         retention_ms: how long a turn is kept after its last use.
     """
 
@@ -90,7 +91,7 @@
     """A declared upstream.
 
     Attributes:
-        name: of the upstream.
+        name: name of the upstream.
         max_connections: the most connections that one of its hosts accepts
             from all gateways together.
         engine: None if the upstream runs no model.
@@ -146,7 +147,8 @@
     def tokens_per_event(self, route: Route) -> int:
         """Return how many tokens are counted for each event of a stream.
 
-        It is that of the route's first upstream; 1 if it runs no model.
+        The figure is that of the route's first upstream; 1 if that upstream is
+        not declared or runs no model.
         """
         upstream = self.upstreams.get(route.shares[0].upstream)
         if upstream is None or upstream.engine is None:
