--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -51,7 +51,9 @@
 from pollenwalk.version.resources import Kind, ResourceId
 
 ID_BITS = 48
-HANDOVER_DEADLINE_MS = 10_000
+# How long other entries are asked to take over before the entry keeps its programs.
+HANDOVER_TIMEOUT_MS = 10_000
+# Time for calls that have been given a host to reach its sidecar.
 HANDOVER_GRACE_MS = 150
 POLL_MS = 20
 DRAIN_TIMEOUT_MS = 120_000
@@ -80,7 +82,15 @@
 
 
 class Entry:
-    """An entry, which continues as a new incarnation after a takeover."""
+    """An entry; if another entry takes it over, it starts a new incarnation.
+
+    Attributes:
+        tasks: tasks that run until the entry is closed.
+        owner_tasks: tasks of the current incarnation, such as its calls and its
+            journal.
+        ready: whether the current incarnation is registered and may own programs.
+        stopping: whether the entry is shutting down.
+    """
 
     def __init__(
         self,
@@ -121,7 +131,11 @@
         self.start_incarnation()
 
     async def take_over(self, dead: str) -> bool:
-        """Take over a dead entry, and return whether its programs are here now."""
+        """Take over an entry that is dead or hands over its programs.
+
+        Returns:
+            Whether its programs are here now.
+        """
         return await self.entry_monitor.take_over(dead)
 
     @property
@@ -160,7 +174,7 @@
             lambda: len(self.directory.live_entries()),
         )
         self.journal.peers = self.peers.at
-        self.journal.on_fenced = self.leave_to_successor
+        self.journal.on_fenced = self.handle_fenced
         table = ProgramTable()
         recorder = Recorder(self.journal, table, self.clock, self.owner_tasks)
         context = EntryContext(
@@ -245,10 +259,10 @@
         except StoreUnavailable:
             await self.clock.sleep_ms(CHECK_INTERVAL_MS)
 
-    def leave_to_successor(self) -> None:
-        """Refuse open calls after a takeover.
+    def handle_fenced(self) -> None:
+        """Refuse open calls once a successor has sealed the journal.
 
-        Unless the entry is stopping, it restarts as a new incarnation.
+        Unless the entry is stopping, it then starts a new incarnation.
         """
         self.ready = False
         self.owner.refuse_open_calls()
@@ -289,7 +303,8 @@
     def reply_to_report(self, report: Report) -> None:
         """Send a sidecar the entries to report to and its configuration.
 
-        Each is sent only if it differs from what the report says.
+        The entries are sent only if their digest differs from the report's, the
+        configuration only if it is newer than the report's version.
         """
         entries = self.report_targets.entries_for(report, len(self.fleet.hosts))
         self.fleet.report_interval_ms = entries.interval_ms
@@ -338,17 +353,17 @@
     async def hand_over(self) -> None:
         """Ask another entry to take over the programs, running calls included.
 
-        If none does within `HANDOVER_DEADLINE_MS`, or there is none, this
+        If none does within `HANDOVER_TIMEOUT_MS`, or there is none, this
         entry keeps its programs and refuses new calls.
         """
         if not self.ready or self.journal.fenced:
             return
         if self.directory.observers(self.incarnation, 1):
-            # Calls already dispatched should reach their sidecars before the
-            # successor starts.
+            # Calls that have been given a host should reach its sidecar before
+            # the successor starts.
             self.journal.handing_over = True
             await self.clock.sleep_ms(HANDOVER_GRACE_MS)
-        until_ms = self.clock.now_ms() + HANDOVER_DEADLINE_MS
+        until_ms = self.clock.now_ms() + HANDOVER_TIMEOUT_MS
         while self.clock.now_ms() < until_ms:
             others = self.directory.observers(self.incarnation, OBSERVERS)
             if not others:
@@ -361,7 +376,7 @@
         self.owner.stopping = True
 
     async def close(self) -> None:
-        """Cancel all tasks and close all connections at once."""
+        """Cancel all tasks and close all connections, without waiting for requests."""
         self.ready = False
         await self.owner_tasks.cancel()
         await self.tasks.cancel()
