--- a/pollenwalk/program/ledger.py
+++ b/pollenwalk/program/ledger.py
@@ -93,19 +93,19 @@
     """How a turn's reservation compares with the program's budget.
 
     Attributes:
-        other_tokens: tokens spent or reserved by all other turns of the program.
-        unsettled_tokens: the part of `other_tokens` that is only reserved.
-        fits: whether the budget covers `other_tokens` and the turn's `max_tokens`.
+        others: tokens spent or reserved by all other turns of the program.
+        unsettled: the part of `others` that is only reserved.
+        fits: whether the budget covers `others` and the turn's `max_tokens`.
     """
 
-    other_tokens: int
-    unsettled_tokens: int
+    others: int
+    unsettled: int
     fits: bool
 
     @property
     def settled_tokens(self) -> int:
         """Return the tokens that other, settled turns have spent."""
-        return self.other_tokens - self.unsettled_tokens
+        return self.others - self.unsettled
 
 
 def decide_reservation(
@@ -129,13 +129,9 @@
         if entry.settled or entry.turn not in merged:
             merged[entry.turn] = entry
     merged.pop(turn, None)
-    other_tokens = sum(other.tokens for other in merged.values())
-    unsettled_tokens = sum(
-        other.tokens for other in merged.values() if not other.settled
-    )
-    return BudgetDecision(
-        other_tokens, unsettled_tokens, other_tokens + max_tokens <= budget
-    )
+    others = sum(other.tokens for other in merged.values())
+    unsettled = sum(other.tokens for other in merged.values() if not other.settled)
+    return BudgetDecision(others, unsettled, others + max_tokens <= budget)
 
 
 class AnswerCount(NamedTuple):
@@ -190,11 +186,11 @@
         answer_count: how many keepers have answered.
     """
     if answer_count.is_majority:
-        unseen = decision.unsettled_tokens
-    elif decision.unsettled_tokens or answer_count.hidden_from_majority > 1:
+        unseen = decision.unsettled
+    elif decision.unsettled or answer_count.hidden_from_majority > 1:
         return False
     else:
         # Of the turns that can't see each other, this one is counted below and
         # one may exceed the budget, hence 2 less.
         unseen = max(answer_count.disjoint_turns - 2, 0) * max_tokens
-    return decision.other_tokens + max_tokens + unseen <= budget
+    return decision.others + max_tokens + unseen <= budget
--- a/pollenwalk/request/reservation.py
+++ b/pollenwalk/request/reservation.py
@@ -128,11 +128,11 @@
             request=self.call.id,
             program=self.message.program,
             budget=self.budget,
-            others=decision.other_tokens,
+            others=decision.others,
             most=self.max_tokens,
             fits=decision.fits,
         )
-        self.other_tokens = decision.other_tokens
+        self.other_tokens = decision.others
         if not decision.fits:
             raise Refusal(RefusalCode.BUDGET_EXHAUSTED, 'the budget is spent')
 
@@ -174,7 +174,7 @@
         decision = self.decide(known_entries)
         if self.has_headroom(decision, len(known_entries)):
             self.permitted_early = True
-            self.other_tokens = decision.other_tokens
+            self.other_tokens = decision.others
             self.permitted.set_result(None)
 
     def decide(self, known_entries: list[list[TokenEntry]]) -> BudgetDecision:
--- a/test/program/test_budget_rounds.py
+++ b/test/program/test_budget_rounds.py
@@ -158,7 +158,7 @@
     decision: BudgetDecision, max_tokens: int, budget: int, _: AnswerCount
 ) -> bool:
     """Permit a turn if four more of the same size would fit, a former rule."""
-    return decision.other_tokens + 5 * max_tokens <= budget
+    return decision.others + 5 * max_tokens <= budget
 
 
 def no_headroom(
--- a/test/program/test_ledger.py
+++ b/test/program/test_ledger.py
@@ -59,9 +59,7 @@
             [TokenEntry('t1', MAX_TOKENS, False)],
             [TokenEntry('t1', 4, True), TokenEntry('t2', MAX_TOKENS, False)],
         ]
-        self.assertEqual(
-            4, decide_reservation(known, 't2', MAX_TOKENS, 14).other_tokens
-        )
+        self.assertEqual(4, decide_reservation(known, 't2', MAX_TOKENS, 14).others)
         self.assertTrue(decide_reservation(known, 't2', MAX_TOKENS, 14).fits)
         self.assertFalse(decide_reservation(known, 't2', MAX_TOKENS, 13).fits)
 
