--- a/pollenwalk/errors.py
+++ b/pollenwalk/errors.py
@@ -177,7 +177,7 @@
 
 
 class ConnectionLost(PollenwalkError):
-    """A peer does not answer, or the connection ended before the answer was complete."""
+    """A peer does not answer, or the connection ended before its whole answer came."""
 
     code = 'connection_lost'
 
--- a/pollenwalk/platform/documents.py
+++ b/pollenwalk/platform/documents.py
@@ -97,8 +97,8 @@
     """The object of an upstream host.
 
     `born` is the Unix time of the host's start. `cold_left_ms` is the time for
-    which the host is still slow after the start. The object's `version` is that of the host's
-    software and is not decoded.
+    which the host is still slow after the start. The object's `version` is that
+    of the host's software and is not decoded.
     """
 
     service: str
--- a/pollenwalk/program/budget.py
+++ b/pollenwalk/program/budget.py
@@ -2,8 +2,8 @@
 
 A reservation is recorded in the journal before a model call starts. The record
 that finishes a call also makes the reservation for the next one, so each call
-costs one commit. After a crash an unused reservation counts as spent: a program may
-lose tokens, but can never spend more than its limit.
+costs one commit. After a crash an unused reservation counts as spent: a program
+may lose tokens, but can never spend more than its limit.
 """
 
 from typing import NamedTuple
--- a/pollenwalk/program/history.py
+++ b/pollenwalk/program/history.py
@@ -56,7 +56,7 @@
             self.digests.append(extend_digest(self.digest, item))
 
     def since(self, digest: str) -> list[HistoryItem] | None:
-        """Return the items after a digest; None if the digest is not one of `digests`."""
+        """Return the items after a digest; None if `digests` does not have it."""
         try:
             position = self.digests.index(digest)
         except ValueError:
--- a/pollenwalk/program/ledger.py
+++ b/pollenwalk/program/ledger.py
@@ -2,9 +2,9 @@
 
 Before a turn runs, it reserves the largest number of tokens that it may
 generate. Every keeper counts this reservation until the turn is settled with
-the number of tokens that it generated. A gateway merges the accounts of a majority of the keepers. Any two
-majorities have a keeper in common, so of any two turns at least one sees the
-other.
+the number of tokens that it generated. A gateway merges the accounts of a
+majority of the keepers. Any two majorities have a keeper in common, so of any
+two turns at least one sees the other.
 """
 
 import itertools
@@ -174,10 +174,10 @@
     different orders. With answers of a majority, of any two turns at least one
     sees the other. The turns that this one does not see have all seen this one.
     To allow for them, as many tokens of the budget must be free as other turns
-    have reserved and not settled. With fewer
-    answers a turn begins only if it sees no other unsettled turn, and only if
-    at most one such turn can be hidden from a majority. A program therefore
-    exceeds its budget by the `max_tokens` of at most one turn.
+    have reserved and not settled. With fewer answers a turn begins only if it
+    sees no other unsettled turn, and only if at most one such turn can be
+    hidden from a majority. A program therefore exceeds its budget by the
+    `max_tokens` of at most one turn.
 
     Args:
         decision: the comparison that the answers received so far give.
--- a/pollenwalk/program/live.py
+++ b/pollenwalk/program/live.py
@@ -11,8 +11,8 @@
 
 # How long a call waits for an earlier call that has not arrived.
 GAP_WAIT_MS = 5000
-# Delay after which a caller is told to retry a call that was refused as an
-# earlier one has not arrived.
+# Delay after which a caller is told to retry a call that was refused because an
+# earlier one has not arrived or its sequence number is too far ahead.
 GAP_RETRY_MS = 1000
 # How far a call's sequence number may be ahead of the next call in order.
 MAX_SEQUENCES_AHEAD = 64
