--- a/pollenwalk/program/view.py
+++ b/pollenwalk/program/view.py
@@ -89,7 +89,7 @@
 
 
 def problem_document(refusal: RefusalBody) -> dict[str, Any]:
-    """Return a refusal as a problem document without its HTTP status."""
+    """Return a refusal as `application/problem+json`, without the HTTP status."""
     return {
         'title': refusal.message,
         'code': refusal.code,
