--- a/pollenwalk/process/keeper_state.py
+++ b/pollenwalk/process/keeper_state.py
@@ -114,7 +114,7 @@
 
         The returned turns are marked as just used.
         """
-        return self.turns.use_chain(turn)._replace(complete=self.complete)
+        return self.turns.touch_chain(turn)._replace(complete=self.complete)
 
     def account_records(self) -> Iterator[bytes]:
         """Yield the encoded reservations and settlements of all accounts."""
--- a/pollenwalk/program/budget.py
+++ b/pollenwalk/program/budget.py
@@ -1,14 +1,14 @@
 """A program's token budget.
 
-Tokens are reserved in the journal before a model call starts. The record that
-finishes a call also makes the reservation for the next one, so each call costs
-one commit. After a crash an unused reservation counts as spent: a program may
-lose tokens, but can never spend more than its limit.
+A reservation is recorded in the journal before a model call starts. The record
+that finishes a call also makes the reservation for the next one, so each call
+costs one commit. After a crash an unused reservation counts as spent: a program
+may lose tokens, but can never spend more than its limit.
 """
 
 from typing import NamedTuple
 
-RESERVE_AHEAD_DIVISOR = 10
+ADVANCE_RESERVATION_DIVISOR = 10
 
 
 class Budget(NamedTuple):
@@ -36,13 +36,13 @@
         """Return the tokens that the program's own calls may still spend."""
         return self.free + self.reserved
 
-    def cap_reserve_ahead(self, amount: int) -> int:
+    def cap_advance_reservation(self, amount: int) -> int:
         """Limit an advance reservation to a tenth of the budget.
 
         A takeover counts the reservation as spent, so a large one would
         cost the program too much.
         """
-        return min(amount, self.limit // RESERVE_AHEAD_DIVISOR)
+        return min(amount, self.limit // ADVANCE_RESERVATION_DIVISOR)
 
     def reserve(self, amount: int) -> 'Budget':
         """Set the reservation to `amount`, or to all that is left if less."""
