--- a/pollenwalk/process/host_table.py
+++ b/pollenwalk/process/host_table.py
@@ -1,9 +1,9 @@
-"""The registered upstream hosts, with this gateway's estimate of each.
+"""The registered upstream hosts, with their estimated load and failures.
 
 A host registers itself in the store under its id. A registration that
-disappears after the store was unavailable may have lapsed although its host is
-alive. The host is therefore kept for the time that a live host needs to
-register again.
+disappears while the store is unavailable, or soon afterwards, may have lapsed
+although its host is alive. The host is therefore kept for the time that a live
+host needs to register again.
 """
 
 from collections.abc import Iterator
@@ -16,11 +16,12 @@
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.store import StoredObject
 
-# Live hosts have registered again about 2 s after the store recovered.
+# How long a host is kept whose registration may have lapsed. Live hosts have
+# registered again about 2 s after the store recovered.
 REREGISTRATION_MS = 2200.0
 # Registrations may still lapse this long after the store recovered.
 STORE_RECOVERY_MS = 4000.0
-# Weight of a new service time in the exponential moving average.
+# Weight of a new run time in the exponential moving average of a route.
 SMOOTHING = 0.1
 # How long a host is suspected after a failure. The time doubles with each
 # consecutive failure up to the maximum, as a crashed process restarts within
@@ -30,13 +31,13 @@
 # Enough doublings to reach the maximum; the bound keeps the power of two from
 # overflowing for a host that fails for hours.
 MAX_DOUBLINGS = 4
-# About one service time. The weight of a load report falls linearly to zero
-# within twice this time.
+# About one run time of a call. The weight of a load report falls linearly from 1
+# to 0 within twice this time.
 LOAD_REPORT_TRUST_MS = 400.0
 
 
 class HostState:
-    """A gateway's estimate of one upstream host since the host's last start.
+    """The load and failures of one upstream host, since the host's last start.
 
     Attributes:
         registration: what the host registered about itself.
@@ -46,7 +47,7 @@
         reported_at_ms: time of the last load report; None before the first.
         failures: number of consecutive failures.
         suspected_until_ms: time until which the host is suspected to fail.
-        removal_due_ms: time at which a host without a registration is removed;
+        removal_due_at_ms: time at which a host without a registration is removed;
             None for a registered host.
     """
 
@@ -58,7 +59,7 @@
         self.reported_at_ms: float | None = None
         self.failures = 0
         self.suspected_until_ms = 0.0
-        self.removal_due_ms: float | None = None
+        self.removal_due_at_ms: float | None = None
 
     def record_load(self, load: tuple[int, int, int], now_ms: float) -> None:
         """Record the load that the host reported with an answer.
@@ -72,7 +73,7 @@
         self.reported_at_ms = now_ms
 
     def load(self, now_ms: float) -> float:
-        """Estimate the number of calls at the host, those of others included."""
+        """Estimate the number of all gateways' calls at the host."""
         age_ms = self.report_age_ms(now_ms)
         if age_ms is None:
             return self.in_flight
@@ -87,8 +88,8 @@
         """Suspect the host for a time that grows with consecutive failures."""
         self.failures += 1
         doublings = min(self.failures - 1, MAX_DOUBLINGS)
-        pause_ms = MIN_SUSPICION_MS * 2**doublings
-        self.suspected_until_ms = now_ms + min(pause_ms, MAX_SUSPICION_MS)
+        suspicion_ms = MIN_SUSPICION_MS * 2**doublings
+        self.suspected_until_ms = now_ms + min(suspicion_ms, MAX_SUSPICION_MS)
 
     def record_success(self) -> None:
         """Clear the suspicion of the host."""
@@ -103,8 +104,8 @@
         states: the state of each host, by its id.
         loaded: whether the hosts have been read from the store.
         store_unavailable_since_ms: time of the first read without an answer;
-            None while the store answers.
-        store_recovered_ms: time at which the store answered again; None if it
+            None while the store answers, directly or through a relay.
+        store_recovered_at_ms: time at which the store answered again; None if it
             always answered.
     """
 
@@ -114,13 +115,13 @@
         self.states: dict[str, HostState] = {}
         self.loaded = False
         self.store_unavailable_since_ms: float | None = None
-        self.store_recovered_ms: float | None = None
+        self.store_recovered_at_ms: float | None = None
 
     def apply_change(self, stored: StoredObject) -> None:
         """Apply a changed or deleted registration; ignore an unreadable one."""
         name = stored.key.removeprefix(HOSTS_PREFIX)
         if not stored.body:
-            self.registration_deleted(name, stored.version)
+            self.deregister(name, stored.version)
             return
         try:
             registration = decode_host(stored.key, stored.body)
@@ -139,7 +140,7 @@
             state = HostState(registration)
             self.states[registration.id] = state
         state.registration = registration
-        state.removal_due_ms = None
+        state.removal_due_at_ms = None
         logger.info(
             'upstream_host',
             host=registration.id,
@@ -148,8 +149,8 @@
             version=version,
         )
 
-    def registration_deleted(self, host: str, version: int) -> None:
-        """Remove a host whose registration is gone.
+    def deregister(self, host: str, version: int) -> None:
+        """Remove a host whose registration has been deleted.
 
         It is removed at once, or, if the registration may only have lapsed,
         once the host has had time to register again.
@@ -158,14 +159,14 @@
         if state is None:
             return
         grace_ms = REREGISTRATION_MS if self.registrations_may_have_lapsed() else 0
-        state.removal_due_ms = self.clock.now_ms() + grace_ms
+        state.removal_due_at_ms = self.clock.now_ms() + grace_ms
         logger.info(
             'upstream_host_gone',
             host=host,
             version=version,
             grace_ms=grace_ms,
         )
-        self.remove_expired()
+        self.remove_due_hosts()
 
     def registrations_may_have_lapsed(self) -> bool:
         """Return whether registrations of live hosts may have lapsed.
@@ -174,36 +175,36 @@
         """
         if self.store_unavailable_since_ms is not None:
             return True
-        if self.store_recovered_ms is None:
+        if self.store_recovered_at_ms is None:
             return False
-        return self.clock.now_ms() - self.store_recovered_ms < STORE_RECOVERY_MS
+        return self.clock.now_ms() - self.store_recovered_at_ms < STORE_RECOVERY_MS
 
-    def store_answered(self) -> None:
-        """Record that the store answered."""
+    def record_store_answer(self) -> None:
+        """Record that the store answered, directly or through a relay."""
         if self.store_unavailable_since_ms is None:
             return
         self.store_unavailable_since_ms = None
-        self.store_recovered_ms = self.clock.now_ms()
+        self.store_recovered_at_ms = self.clock.now_ms()
 
-    def store_failed(self) -> None:
+    def record_store_failure(self) -> None:
         """Record that the store did not answer."""
         if self.store_unavailable_since_ms is None:
             self.store_unavailable_since_ms = self.clock.now_ms()
 
-    def remove_expired(self) -> None:
-        """Remove the hosts whose removal is due."""
+    def remove_due_hosts(self) -> None:
+        """Remove the hosts whose time to register again has passed."""
         now_ms = self.clock.now_ms()
-        expired = [
+        due = [
             name
             for name, state in self.states.items()
-            if state.removal_due_ms is not None and state.removal_due_ms <= now_ms
+            if state.removal_due_at_ms is not None and state.removal_due_at_ms <= now_ms
         ]
-        for name in expired:
+        for name in due:
             self.states.pop(name)
 
     def available_hosts(self, upstream: str) -> Iterator[HostState]:
         """Yield the hosts of an upstream that are not leaving."""
-        self.remove_expired()
+        self.remove_due_hosts()
         for state in self.states.values():
             if (
                 state.registration.upstream == upstream
--- a/pollenwalk/process/keeper.py
+++ b/pollenwalk/process/keeper.py
@@ -41,7 +41,7 @@
     TurnRecord,
 )
 
-# Most records in one message, which are some hundred kilobytes.
+# A message with this many records has some hundred kilobytes.
 MAX_BATCH_RECORDS = 64
 REGISTRATION_CHECK_INTERVAL_MS = 100.0
 EXPIRE_INTERVAL_MS = 5000.0
@@ -51,7 +51,7 @@
     """The settings that a keeper reads at its start.
 
     Attributes:
-        name: name of the keeper.
+        name: name of the keeper, which is that of its host.
         zone: availability zone of the keeper.
         regions: the region of each zone.
         address: `host:port` that the keeper listens on.
@@ -75,8 +75,9 @@
     Attributes:
         own_member: this keeper's object in the store, as it should be.
         was_member: whether the store listed this keeper when it started.
-        retired: whether the keeper has been emptied and must not be listed.
-        store_unavailable: whether the last read of the store failed.
+        retired: whether all records have been copied to other keepers, so that
+            this one must not be listed.
+        store_unavailable: whether the last read of the list of keepers failed.
         log_writer: the task that writes the record log.
     """
 
@@ -139,13 +140,13 @@
 
     @property
     def required_copies(self) -> int:
-        """Return on how many disks a turn must be."""
+        """Return how many keepers must store a turn."""
         return self.settings.tolerated_losses + 1
 
     def other_members(self) -> list[Member]:
-        """Return the other keepers, those that answer and are nearest first."""
-        found = (link.member for link in self.links.ordered())
-        return [one for one in found if one.name != self.settings.name]
+        """Return the other keepers: answering ones first, near ones before others."""
+        members = (link.member for link in self.links.ordered())
+        return [member for member in members if member.name != self.settings.name]
 
     async def answer(self, _: Hello, message: Any) -> AsyncIterator[Any]:
         """Yield the answers to a message of a gateway or of another keeper."""
@@ -169,7 +170,7 @@
         self.metrics.complete.set({}, int(self.state.complete))
 
     def records_to_restore(self, lost: list[str]) -> Iterator[bytes]:
-        """Yield the encoded records that a joining keeper has to fetch.
+        """Yield the encoded accounts, and the turns that have too few copies.
 
         Args:
             lost: names of the keepers whose copies don't count.
@@ -182,19 +183,19 @@
         """Return the answer to a message that has a single answer.
 
         Raises:
-            Refusal: a keeper does not take this message, or takes no new turns
-                as it is retiring.
+            Refusal: the message is not one for keepers, this keeper is retiring
+                and accepts no new turns, or it can't reach the store either.
         """
         if isinstance(message, ReserveTokens):
             entries = await self.state.reserve(message)
             return Spent(self.state.complete, entries)
         if isinstance(message, FindChain):
-            return self.state.chain(message.turn)
+            return self.state.find_chain(message.turn)
         if isinstance(message, FindMissing):
-            held = self.state.turns.records
-            return Missing([turn for turn in message.turns if turn not in held])
+            turns = self.state.turns.records
+            return Missing([turn for turn in message.turns if turn not in turns])
         if isinstance(message, ReadPrefix):
-            return await self.read_for_another(message.prefix)
+            return await self.read_prefix(message.prefix)
         await self.store_records(message)
         return Stored(self.state.complete)
 
@@ -202,8 +203,8 @@
         """Store the records of a message on disk.
 
         Raises:
-            Refusal: a keeper does not take this message, or takes no new turns
-                as it is retiring.
+            Refusal: the message is not one for keepers, or this keeper is
+                retiring and accepts no new turns.
         """
         if isinstance(message, TurnRecord):
             if self.own_member.retiring:
@@ -214,9 +215,9 @@
         elif isinstance(message, PushRecords):
             await self.state.add_records(message.records)
         else:
-            raise Refusal(RefusalCode.PROTOCOL, 'a keeper does not take this message')
+            raise Refusal(RefusalCode.PROTOCOL, 'not a message for a keeper')
 
-    async def read_for_another(self, prefix: str) -> Listing:
+    async def read_prefix(self, prefix: str) -> Listing:
         """List a prefix of the store for a process that can't reach the store.
 
         Raises:
@@ -225,7 +226,7 @@
         if self.store_unavailable:
             raise Refusal(
                 RefusalCode.STORE_UNAVAILABLE,
-                'this keeper does not reach the store either',
+                'this keeper cannot reach the store either',
             )
         try:
             changes = await self.store.scan(prefix)
@@ -250,7 +251,7 @@
             self.was_member = self.settings.name in self.links.members.by_name
 
     async def keep_registered(self) -> None:
-        """Register this keeper whenever the store does not list it as it is."""
+        """Register this keeper whenever its object in the store must be written."""
         backoff = Backoff(self.clock)
         while True:
             await self.clock.sleep_ms(REGISTRATION_CHECK_INTERVAL_MS)
@@ -278,8 +279,8 @@
         should_be_listed = self.state.complete and not self.retired
         return should_be_listed and listed != self.own_member
 
-    async def remove(self, member: Member) -> None:
-        """Remove a keeper from the store, however long the store is unavailable."""
+    async def remove_member(self, member: Member) -> None:
+        """Delete a keeper's object in the store; retry until the store answers."""
         await self.retry_until_acknowledged(lambda: self.store.delete(member.key))
 
     async def retry_until_acknowledged(
@@ -297,7 +298,7 @@
             return
 
     async def expire(self) -> None:
-        """Drop expired records and compact the log at regular intervals."""
+        """Remove expired records from memory and compact the log at regular intervals."""
         while True:
             await self.clock.sleep_ms(EXPIRE_INTERVAL_MS)
             self.state.expire()
@@ -305,7 +306,7 @@
 
 
 def batched(records: Iterable[bytes]) -> Iterator[list[bytes]]:
-    """Yield records in batches; a last one is yielded even if it is empty."""
+    """Yield records in batches, at least one, of which the last may be empty."""
     batch: list[bytes] = []
     for record in records:
         batch.append(record)
--- a/pollenwalk/process/turn_replication.py
+++ b/pollenwalk/process/turn_replication.py
@@ -8,8 +8,8 @@
 from pollenwalk.program.turns import Stored, TurnRecord
 
 # If no keeper has answered within this time, the record is sent to one more
-# (a hedged request). The time allows for several syncs of the disk in the same
-# region, and for a round trip to another region.
+# (a hedged request). NEAR allows for several syncs of a disk in the same region;
+# FAR also for a round trip, and is used once a keeper in another region was asked.
 NEAR_HEDGE_MS = 40.0
 FAR_HEDGE_MS = 150.0
 # Retry-After while too few keepers answer. It is short, as the caller may reach
@@ -24,7 +24,7 @@
         candidates: the keepers that have not been asked, in order of preference.
         stored_copies: how many keepers have acknowledged the record.
         max_distance: greatest distance rank of the keepers that were asked.
-        sending: the requests that are not answered.
+        sending: the open requests.
     """
 
     def __init__(
@@ -70,28 +70,28 @@
             Refusal: too few keepers have stored the turn, and none is left to
                 ask.
         """
-        self.send_to(self.required_copies)
+        self.send_to_next(self.required_copies)
         while self.stored_copies < self.required_copies:
             if not self.sending:
                 raise keepers_unavailable(
                     f'stored {self.stored_copies} of {self.required_copies} copies',
                 )
-            done, left = await asyncio.wait(
+            done, pending = await asyncio.wait(
                 self.sending,
                 timeout=self.hedge_ms() / MS_PER_SECOND,
                 return_when=asyncio.FIRST_COMPLETED,
             )
-            self.sending = left
+            self.sending = pending
             succeeded = sum(task.exception() is None for task in done)
             self.stored_copies += succeeded
-            self.send_to(len(done) - succeeded if done else 1)
+            self.send_to_next(len(done) - succeeded if done else 1)
 
-    def send_to(self, count: int) -> None:
+    def send_to_next(self, count: int) -> None:
         """Send the turn to the next `count` candidates."""
         chosen = self.candidates[:count]
         self.candidates = self.candidates[count:]
         for link in chosen:
-            request = self.links.ask(link, self.record)
+            request = self.links.request(link, self.record)
             self.sending.add(asyncio.ensure_future(request))
             self.max_distance = max(self.max_distance, link.distance)
 
@@ -107,7 +107,7 @@
 
 
 def keepers_unavailable(reason: str) -> Refusal:
-    """Return the refusal of a turn for which too few keepers answer."""
+    """Return the refusal of a request when too few keepers have answered."""
     return Refusal(
         RefusalCode.KEEPERS_UNAVAILABLE,
         reason,
--- a/test/process/test_gateway.py
+++ b/test/process/test_gateway.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of the store and of itself."""
+"""Tests of a gateway's watches of the store and of its readiness."""
 
 import random
 
@@ -17,13 +17,13 @@
 LEAVE_NOTICE_MS = 2000
 
 
-class PartlyLostStore(MemoryStore):
-    """A store that fails the watches of one kind, and keeps each wait."""
+class PartlyUnavailableStore(MemoryStore):
+    """A store that fails the watches of one prefix and records all wait times."""
 
     lost = ''
 
     async def watch(self, prefix: str, revision: int, wait_ms: int = 0) -> Changes:
-        """Fail a lost kind."""
+        """Record the wait time; fail a watch of the unavailable prefix."""
         self.waits[prefix] = wait_ms
         faults = self.faults
         self.faults = Faults(down=prefix == self.lost)
@@ -35,13 +35,17 @@
 
 
 class GatewayTest(testtools.TestCase):
-    """One gateway in virtual time, without keepers and hosts."""
+    """A gateway in virtual time, without keepers and hosts."""
 
-    async def gateway(self, lost: str = '') -> Gateway:
-        """Start a gateway and let some seconds pass."""
+    async def start_gateway(self, lost: str = '') -> Gateway:
+        """Start a gateway and wait 10 s.
+
+        Args:
+            lost: prefix whose watches fail; empty for none.
+        """
         node = Node('gateway', Place('a', 'east'))
         clock = NodeClock(node)
-        store = PartlyLostStore(clock)
+        store = PartlyUnavailableStore(clock)
         store.waits: dict[str, int] = {}
         store.lost = lost
         settings = GatewaySettings(
@@ -60,27 +64,27 @@
         return gateway
 
     @virtual
-    async def test_any_watch_that_fails_makes_entries_doubtful(self) -> None:
+    async def test_any_failed_watch_makes_deletions_doubtful(self) -> None:
         for kind in (CONFIGURATION_PREFIX, HOSTS_PREFIX):
-            gateway = await self.gateway(kind)
+            gateway = await self.start_gateway(kind)
             self.assertTrue(gateway.host_table.registrations_may_have_lapsed(), kind)
             await gateway.stop()
 
     @virtual
-    async def test_entries_go_at_once_while_all_watches_work(self) -> None:
-        gateway = await self.gateway()
+    async def test_deletions_are_trusted_while_watches_work(self) -> None:
+        gateway = await self.start_gateway()
         self.assertFalse(gateway.host_table.registrations_may_have_lapsed())
         await gateway.stop()
 
     @virtual
-    async def test_watches_end_before_what_depends_on_them(self) -> None:
-        gateway = await self.gateway()
+    async def test_watches_end_within_the_configured_delays(self) -> None:
+        gateway = await self.start_gateway()
         self.assertTrue(self.waits[CONFIGURATION_PREFIX] <= CHANGE_DELAY_MS / 2)
         self.assertTrue(self.waits[HOSTS_PREFIX] <= LEAVE_NOTICE_MS * 2 / 3)
         await gateway.stop()
 
     @virtual
     async def test_not_ready_without_a_configuration(self) -> None:
-        gateway = await self.gateway()
+        gateway = await self.start_gateway()
         self.assertFalse(gateway.ready)
         await gateway.stop()
--- a/test/process/test_limits.py
+++ b/test/process/test_limits.py
@@ -88,7 +88,7 @@
 class ReportTargetsTest(testtools.TestCase):
     """The choice of the entries that a sidecar reports to, and how often."""
 
-    async def make(self, count: int) -> Directory:
+    async def make_directory(self, count: int) -> Directory:
         """Return a directory of `count` entries in one region."""
         directory = Directory(MemoryStore(make_clock()), make_clock())
         for number in range(count):
@@ -114,14 +114,14 @@
 
     @virtual
     async def test_all_entries_are_targets_while_few(self) -> None:
-        report_targets = ReportTargets(await self.make(5), REGIONS)
+        report_targets = ReportTargets(await self.make_directory(5), REGIONS)
         self.assertEqual(
             5, len(report_targets.entries_for(self.report(1), 10).addresses)
         )
 
     @virtual
     async def test_many_entries_share_the_sidecars(self) -> None:
-        report_targets = ReportTargets(await self.make(40), REGIONS)
+        report_targets = ReportTargets(await self.make_directory(40), REGIONS)
         sidecars: dict[str, int] = {}
         for number in range(1000):
             chosen = report_targets.entries_for(self.report(number), 100).addresses
@@ -133,7 +133,7 @@
 
     @virtual
     async def test_only_targets_of_a_removed_entry_change(self) -> None:
-        directory = await self.make(40)
+        directory = await self.make_directory(40)
         report_targets = ReportTargets(directory, REGIONS)
         before = {
             number: set(report_targets.entries_for(self.report(number), 100).addresses)
--- a/test/request/test_program_turn.py
+++ b/test/request/test_program_turn.py
@@ -16,7 +16,7 @@
 from pollenwalk.request.program_turn import ProgramTurn
 from pollenwalk.request.reservation import Reservation
 from test.helper import virtual
-from test.process.test_keepers import World, record
+from test.process.test_keepers import KeeperCluster, make_record
 from test.request.test_forwarding import STREAM
 
 HISTORY_ROUTE = STREAM._replace(keeps_history=True)
@@ -46,8 +46,8 @@
 
     @virtual
     async def test_prompt_has_the_whole_chain(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         first = self.make_turn(group, make_call('t1', 1000))
         self.assertEqual(b't1', await first.prepare())
         for number in (1, 2):
@@ -60,8 +60,8 @@
 
     @virtual
     async def test_spent_budget_is_refused_before_the_run(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         first = self.make_turn(group, make_call('t1', 2 * MAX_TOKENS - 1))
         await first.prepare()
         second = self.make_turn(group, make_call('t2', 2 * MAX_TOKENS - 1))
@@ -73,108 +73,108 @@
 
     @virtual
     async def test_unused_tokens_are_returned_to_the_budget(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         first = self.make_turn(group, make_call('t1', 2 * MAX_TOKENS - 1))
         await first.prepare()
         await first.before_event(Event(b'', '1', b'out'))
         first.close()
-        await world.wait(200)
+        await cluster.wait(200)
         second = self.make_turn(group, make_call('t2', 2 * MAX_TOKENS - 1))
         await second.prepare()
         second.close()
 
     @virtual
     async def test_one_keeper_suffices_far_from_the_budget(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         turn = self.make_turn(group, make_call('t1', 10_000))
-        started_ms = world.clock.now_ms()
-        world.fabric.slow_ms['gateway', 'b'] = 1000
-        world.fabric.slow_ms['gateway', 'c'] = 1000
+        started_ms = cluster.clock.now_ms()
+        cluster.fabric.slow_ms['gateway', 'b'] = 1000
+        cluster.fabric.slow_ms['gateway', 'c'] = 1000
         await turn.prepare()
         await turn.before_event(Event(b'', '1', b'out'))
-        self.assertTrue(world.clock.now_ms() - started_ms < 100)
+        self.assertTrue(cluster.clock.now_ms() - started_ms < 100)
         turn.close()
 
     @virtual
     async def test_concurrent_turn_waits_for_a_majority(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         first = self.make_turn(group, make_call('t1', 10_000))
         await first.prepare()
-        world.fabric.slow_ms['gateway', 'b'] = 200
-        world.fabric.slow_ms['gateway', 'c'] = 200
+        cluster.fabric.slow_ms['gateway', 'b'] = 200
+        cluster.fabric.slow_ms['gateway', 'c'] = 200
         second = self.make_turn(group, make_call('t2', 10_000))
-        started_ms = world.clock.now_ms()
+        started_ms = cluster.clock.now_ms()
         await second.prepare()
-        self.assertTrue(world.clock.now_ms() - started_ms >= 200)
+        self.assertTrue(cluster.clock.now_ms() - started_ms >= 200)
         first.close()
         second.close()
 
     @virtual
     async def test_turn_near_the_budget_waits_for_a_majority(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         turn = self.make_turn(group, make_call('t1', MAX_TOKENS))
-        world.fabric.slow_ms['gateway', 'b'] = 200
-        world.fabric.slow_ms['gateway', 'c'] = 200
-        started_ms = world.clock.now_ms()
+        cluster.fabric.slow_ms['gateway', 'b'] = 200
+        cluster.fabric.slow_ms['gateway', 'c'] = 200
+        started_ms = cluster.clock.now_ms()
         await turn.prepare()
         await turn.before_event(Event(b'', '1', b'out'))
-        self.assertTrue(world.clock.now_ms() - started_ms > 200)
+        self.assertTrue(cluster.clock.now_ms() - started_ms > 200)
         turn.close()
 
     @virtual
     async def test_lone_turn_near_its_budget_asks_once(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         turn = self.make_turn(group, make_call('t1', MAX_TOKENS))
-        world.fabric.slow_ms['gateway', 'b'] = 200
-        world.fabric.slow_ms['gateway', 'c'] = 200
-        started_ms = world.clock.now_ms()
+        cluster.fabric.slow_ms['gateway', 'b'] = 200
+        cluster.fabric.slow_ms['gateway', 'c'] = 200
+        started_ms = cluster.clock.now_ms()
         await turn.prepare()
-        took_ms = world.clock.now_ms() - started_ms
+        took_ms = cluster.clock.now_ms() - started_ms
         self.assertTrue(400 <= took_ms < 600, took_ms)
         turn.close()
 
     @virtual
     async def test_turn_found_to_exceed_its_budget_is_cut(self) -> None:
         """The first keeper to answer lacks turns that the two others have."""
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         for number in range(5):
             spent = SettleTokens('p', f'old{number}', MAX_TOKENS, 1000)
             for name in ('b', 'c'):
-                await world.keepers[name].state.store_record(spent)
-        world.fabric.slow_ms['gateway', 'b'] = 200
-        world.fabric.slow_ms['gateway', 'c'] = 200
+                await cluster.keepers[name].state.store_record(spent)
+        cluster.fabric.slow_ms['gateway', 'b'] = 200
+        cluster.fabric.slow_ms['gateway', 'c'] = 200
         turn = self.make_turn(group, make_call('t1', 5 * MAX_TOKENS))
         await turn.prepare()
         await turn.before_event(Event(b'', '1', b'out'))
-        await world.wait(500)
+        await cluster.wait(500)
         with testtools.ExpectedException(Refusal):
             await turn.before_event(Event(b'', '2', b'out'))
         turn.close()
 
     @virtual
     async def test_end_waits_for_a_majority(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         turn = self.make_turn(group, make_call('t1', 10_000))
         await turn.prepare()
         turn.close()
-        await world.wait(200)
-        world.fabric.cut('gateway', 'b')
-        world.fabric.cut('gateway', 'c')
+        await cluster.wait(200)
+        cluster.fabric.cut('gateway', 'b')
+        cluster.fabric.cut('gateway', 'c')
         second = self.make_turn(group, make_call('t2', 10_000))
         await second.prepare()
         await second.before_event(Event(b'', '1', b'out'))
         ending = asyncio.ensure_future(second.before_end())
-        await world.wait(1500)
+        await cluster.wait(1500)
         self.assertFalse(ending.done())
-        world.fabric.heal()
-        await world.wait(1000)
+        cluster.fabric.heal()
+        await cluster.wait(1000)
         self.assertTrue(ending.done())
         await ending
         second.close()
@@ -182,18 +182,18 @@
     @virtual
     async def test_finished_turn_is_stored_late(self) -> None:
         """Guards against complete answers being cut after a second without keepers."""
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         turn = self.make_turn(group, make_call('t1', 10_000))
         await turn.prepare()
         await turn.before_event(Event(b'', '1', b'out'))
         for name in 'abc':
-            world.fabric.cut('gateway', name)
+            cluster.fabric.cut('gateway', name)
         ending = asyncio.ensure_future(turn.before_end())
-        await world.wait(1500)
+        await cluster.wait(1500)
         self.assertFalse(ending.done())
-        world.fabric.heal()
-        await world.wait(1000)
+        cluster.fabric.heal()
+        await cluster.wait(1000)
         await ending
         self.assertEqual(['t1'], [one.turn for one in await group.load_chain('t1')])
         turn.close()
@@ -201,30 +201,30 @@
     @virtual
     async def test_retries_outlast_a_restart(self) -> None:
         """A caller that retries when told to is served once a keeper is back."""
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         for name in ('b', 'c'):
-            await world.kill(name)
-        restarted = asyncio.ensure_future(self.restart(world, 'b', 2500))
+            await cluster.kill(name)
+        restarted = asyncio.ensure_future(self.restart(cluster, 'b', 2500))
         refusal_count = 0
         while await self.is_refused(
-            world, self.make_turn(group, make_call('t', 10_000))
+            cluster, self.make_turn(group, make_call('t', 10_000))
         ):
             refusal_count += 1
         self.assertTrue(restarted.done())
         self.assertTrue(refusal_count <= 5, refusal_count)
 
-    async def restart(self, world: World, name: str, after_ms: float) -> None:
+    async def restart(self, cluster: KeeperCluster, name: str, after_ms: float) -> None:
         """Start a keeper again after a time."""
-        await world.wait(after_ms)
-        await world.keeper(name)
+        await cluster.wait(after_ms)
+        await cluster.start_keeper(name)
 
-    async def is_refused(self, world: World, turn: ProgramTurn) -> bool:
+    async def is_refused(self, cluster: KeeperCluster, turn: ProgramTurn) -> bool:
         """Prepare a turn; after a refusal wait as long as it asks, return True."""
         try:
             await turn.prepare()
         except Refusal as refusal:
-            await world.wait(refusal.retry_after_ms or 0)
+            await cluster.wait(refusal.retry_after_ms or 0)
             return True
         finally:
             turn.close()
@@ -236,21 +236,21 @@
 
         With one keeper down, that majority was never reached.
         """
-        world = World()
-        group = await world.three_and_group()
-        await world.kill('b')
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
+        await cluster.kill('b')
         reservation = Reservation(group, make_call('t1', 10_000), GatewayMetrics())
-        await world.wait(1)
+        await cluster.wait(1)
         members = group.links.members.by_name
         members['d'] = Member('d', 'd:1', 'd')
         await reservation.recorded
 
     @virtual
     async def test_refused_without_a_majority(self) -> None:
-        world = World()
-        group = await world.three_and_group()
-        await world.kill('b')
-        await world.kill('c')
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
+        await cluster.kill('b')
+        await cluster.kill('c')
         turn = self.make_turn(group, make_call('t1', 1000))
         error = await self.refusal_of(turn)
         self.assertEqual(RefusalCode.KEEPERS_UNAVAILABLE, error.code)
@@ -259,24 +259,24 @@
 
     @virtual
     async def test_turn_not_stored_has_unknown_outcome(self) -> None:
-        world = World()
-        group = await world.three_and_group()
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
         turn = self.make_turn(group, make_call('t1', 1000))
         await turn.prepare()
         await turn.before_event(Event(b'', '1', b'out'))
-        await world.kill('b')
-        await world.kill('c')
+        await cluster.kill('b')
+        await cluster.kill('c')
         with testtools.ExpectedException(TimeoutError):
-            async with world.clock.timeout_ms(2000):
+            async with cluster.clock.timeout_ms(2000):
                 await turn.before_end()
         self.assertEqual(Outcome.UNKNOWN, deadline_passed().outcome)
         turn.close()
 
     @virtual
     async def test_forged_previous_turn_is_refused(self) -> None:
-        world = World()
-        group = await world.three_and_group()
-        await group.store_turn(record('real'))
+        cluster = KeeperCluster()
+        group = await cluster.start_three_with_group()
+        await group.store_turn(make_record('real'))
         turn = self.make_turn(group, make_call('t1', 1000, 'forged'))
         error = await self.refusal_of(turn)
         self.assertEqual(RefusalCode.UNKNOWN_TURN, error.code)
