--- a/pollenwalk/request/reservation.py
+++ b/pollenwalk/request/reservation.py
@@ -14,7 +14,7 @@
 from pollenwalk.program.turns import ReserveTokens
 from pollenwalk.program.turns import Spent
 from pollenwalk.program.turns import TokenEntry
-from pollenwalk.request.call_state import Call
+from pollenwalk.request.gateway_call import Call
 import asyncio
 
 
