--- a/pollenwalk/process/keeper_group.py
+++ b/pollenwalk/process/keeper_group.py
@@ -148,7 +148,7 @@
             Refusal: a turn does not exist, or too few keepers answered to know
                 whether it does.
         """
-        found = self.cache.use_chain(turn)
+        found = self.cache.touch_chain(turn)
         turns = found.turns
         while found.missing:
             found = await self.find_chain(found.missing)
--- a/pollenwalk/program/history.py
+++ b/pollenwalk/program/history.py
@@ -1,8 +1,8 @@
 """A program's history as a digest chain.
 
 The digest of each item covers all items before it. Two processes that have the
-same digest therefore have the same history, and an item of another program
-can't get in unnoticed.
+same digest therefore have the same history, and a digest shows if an item of
+another program was added by mistake.
 """
 
 import hashlib
@@ -56,7 +56,7 @@
             self.digests.append(extend_digest(self.digest, item))
 
     def since(self, digest: str) -> list[HistoryItem] | None:
-        """Return the items after a digest; None if this history lacks it."""
+        """Return the items after a digest; None if `digests` does not have it."""
         try:
             position = self.digests.index(digest)
         except ValueError:
@@ -69,7 +69,7 @@
     return len(text.split())
 
 
-def chat_history_items(argument: dict[str, Any], answer: Answer) -> list[HistoryItem]:
+def model_history_items(argument: dict[str, Any], answer: Answer) -> list[HistoryItem]:
     """Return the history items that a model call adds."""
     return [
         HistoryItem('user', str(argument.get('message', ''))),
--- a/pollenwalk/program/live.py
+++ b/pollenwalk/program/live.py
@@ -11,6 +11,8 @@
 
 # How long a call waits for an earlier call that has not arrived.
 GAP_WAIT_MS = 5000
+# Delay after which a caller is told to retry a call that was refused because an
+# earlier one has not arrived or its sequence number is too far ahead.
 GAP_RETRY_MS = 1000
 # How far a call's sequence number may be ahead of the next call in order.
 MAX_SEQUENCES_AHEAD = 64
@@ -26,20 +28,20 @@
         program: the durable state.
         calls: calls that wait or run, by the caller's key.
         tasks: the tasks of these calls, by the caller's key.
-        sidecar_digests: digest of the history that each sidecar has, by
-            sidecar.
-        cached_tokens: history tokens in the memory of each sidecar's engine,
-            by sidecar.
+        sidecar_digests: digest of the history that a sidecar has, by sidecar
+            id.
+        cached_tokens: estimated history tokens in the memory of a sidecar's
+            engine, by sidecar id.
         counted_items: history items that `counted_tokens` covers.
         counted_tokens: estimated tokens of these items.
-        maybe_ran_keys: keys of repeatable calls of which an attempt may have
+        maybe_ran_keys: keys of idempotent calls of which an attempt may have
             run, as the keys of an ordered set.
-        doubtful_sequence: sequence number of the first call after a takeover;
-            0 if there was none.
+        maybe_ran_sequence: sequence number of the first call after a takeover,
+            which the previous owner may have run; 0 if there was no takeover.
         ending: whether the program is being ended.
         begun_ms: when this owner began or took over the program.
-        last_used_ms: when a call last arrived or ended.
-        changed: set when a call ends or the program is to end.
+        last_used_ms: when a call last arrived or finished.
+        changed: set when a call finishes or the program is to end.
     """
 
     def __init__(self, program: Program, clock: Clock) -> None:
@@ -54,7 +56,7 @@
         self.counted_items = 0
         self.counted_tokens = 0
         self.maybe_ran_keys: dict[str, None] = {}
-        self.doubtful_sequence = 0
+        self.maybe_ran_sequence = 0
         self.ending = False
         self.begun_ms = clock.now_ms()
         self.last_used_ms = self.begun_ms
@@ -70,14 +72,14 @@
         return self.counted_tokens
 
     def may_have_run(self, request: CallProgram) -> bool:
-        """Return whether an earlier attempt of a repeatable call may have run.
+        """Return whether an earlier attempt of an idempotent call may have run.
 
-        Attempts of such calls are not recorded, so after a takeover nobody
-        knows whether the dead owner had tried the first call.
+        Attempts of such calls are not recorded, so after a takeover it is not
+        known whether the previous owner had attempted the first call.
         """
         return (
             request.key in self.maybe_ran_keys
-            or request.sequence == self.doubtful_sequence
+            or request.sequence == self.maybe_ran_sequence
         )
 
     def notify_waiting_calls(self) -> None:
@@ -86,7 +88,7 @@
         self.changed = asyncio.Event()
 
     def admit(self, request: CallProgram) -> None:
-        """Check that a new call can take its place in the program's order.
+        """Check that the program runs and that a new call's sequence number is free.
 
         Raises:
             Refusal: the program has ended or exceeded its deadline, or the
@@ -97,7 +99,7 @@
             raise Refusal(RefusalCode.PROGRAM_ENDED, 'the program has ended')
         if self.is_overdue():
             raise Refusal(RefusalCode.DEADLINE, "the program's deadline has passed")
-        if request.sequence < program.next_sequence or self.is_taken(request):
+        if request.sequence < program.next_sequence or self.is_sequence_taken(request):
             raise Refusal(
                 RefusalCode.SEQUENCE_TAKEN,
                 f'another call has sequence {request.sequence}',
@@ -106,10 +108,10 @@
             raise self.gap_refusal(request)
 
     def is_overdue(self) -> bool:
-        """Return whether the deadline has passed; a takeover starts it again."""
+        """Return whether the deadline has passed; a takeover restarts the period."""
         return self.clock.now_ms() - self.begun_ms > self.program.deadline_ms
 
-    def is_taken(self, request: CallProgram) -> bool:
+    def is_sequence_taken(self, request: CallProgram) -> bool:
         """Return whether a call with the same sequence number waits or runs."""
         return any(
             call.request.sequence == request.sequence for call in self.calls.values()
@@ -130,7 +132,7 @@
         )
 
     async def wait_for_predecessors(self, call: LiveCall) -> None:
-        """Wait until all earlier calls of the program have ended.
+        """Wait until all earlier calls of the program have finished.
 
         Raises:
             Refusal: an earlier call did not arrive within `GAP_WAIT_MS`, the
--- a/pollenwalk/program/turn_index.py
+++ b/pollenwalk/program/turn_index.py
@@ -5,8 +5,8 @@
 from pollenwalk.process.clock import Clock
 from pollenwalk.program.turns import Chain, TurnRecord
 
-# A turn is kept longer than its retention: the clocks of the keepers and the
-# times at which they last saw it used may differ by some seconds.
+# A turn is kept longer than its retention, as the keepers' clocks, and the times
+# of last use that they have recorded, may differ by some seconds.
 RETENTION_FACTOR = 1.5
 RETENTION_MARGIN_MS = 30_000.0
 
@@ -44,12 +44,15 @@
         if is_new:
             self.records[record.turn] = record
             self.size_bytes += record.size_bytes
-        self.use_chain(record.turn)
+        self.touch_chain(record.turn)
         self.evict()
         return is_new
 
-    def use_chain(self, turn: str) -> Chain:
-        """Return a turn and its predecessors, and mark them as just used."""
+    def touch_chain(self, turn: str) -> Chain:
+        """Return a turn and its predecessors, and mark them as just used.
+
+        The chain's `complete` is always True; a keeper replaces it by its own.
+        """
         now_ms = self.clock.now_ms()
         found: list[TurnRecord] = []
         missing = turn
--- a/pollenwalk/version/config.py
+++ b/pollenwalk/version/config.py
@@ -17,7 +17,7 @@
     UpstreamSpec,
 )
 
-# The level of priority classes that are not declared.
+# The level of a priority for which no Priority resource is declared.
 DEFAULT_LEVEL = 5
 
 
@@ -37,7 +37,7 @@
     spec: dict[str, Any] | None
 
 
-class Configuration:
+class AcceptedResources:
     """All resources that are in force in one process.
 
     Attributes:
@@ -54,7 +54,7 @@
         self.on_accept: Callable[[Accepted], None] = lambda accepted: None
 
     def accept(self, accepted: Accepted) -> bool:
-        """Put a resource in force unless the same or a later version is.
+        """Put a resource in force unless its version, or a later one, already is.
 
         Returns:
             Whether the resource was put in force.
@@ -84,7 +84,7 @@
         return self.specs.get(ResourceId(Kind.BUDGET, caller)) or BudgetSpec()
 
     def priority_level(self, priority: str) -> int:
-        """Return the level of a priority class; a lower level is served first."""
+        """Return the level of a priority; calls of a lower level are served first."""
         spec = self.specs.get(ResourceId(Kind.PRIORITY, priority))
         return spec.level if isinstance(spec, PrioritySpec) else DEFAULT_LEVEL
 
@@ -106,7 +106,7 @@
     return msgspec.to_builtins(spec._asdict())
 
 
-def undeclared_references(resource: Resource, config: Configuration) -> list[str]:
+def undeclared_references(resource: Resource, config: AcceptedResources) -> list[str]:
     """Return a message for each upstream of a program that is not declared."""
     spec = resource.spec
     if not isinstance(spec, ProgramSpec):
