--- a/pollenwalk/connection/channel.py
+++ b/pollenwalk/connection/channel.py
@@ -7,6 +7,9 @@
 class Channel(Protocol):
     """An ordered, bidirectional stream of frames between two processes.
 
+    A frame here is a byte string whose boundaries are preserved. `peer` sends a
+    batch of encoded `wire.Frame` objects in each of them.
+
     `send` and `receive` raise `ConnectionLost` once the channel has ended.
     """
 
@@ -28,6 +31,7 @@
 
 
 ChannelHandler = Callable[[Channel], Awaitable[None]]
+# Called with the payload of a datagram and the `ip:port` of its sender.
 DatagramHandler = Callable[[bytes, str], None]
 
 
--- a/pollenwalk/connection/connection_pool.py
+++ b/pollenwalk/connection/connection_pool.py
@@ -13,7 +13,8 @@
 # connection is therefore discarded this long before the keep-alive timeout that
 # the host announces.
 CLOSE_MARGIN_MS = 1000.0
-# Keep-alive time for hosts that announce no timeout.
+# Idle time after which a connection is discarded if its host announces no
+# keep-alive timeout.
 DEFAULT_KEEP_ALIVE_MS = 4000.0
 
 
@@ -56,9 +57,9 @@
         connection.idle_since_ms = self.clock.now_ms()
         self.idle.setdefault(host.id, []).append(connection)
 
-    def close_all_except(self, hosts: set[str]) -> None:
-        """Close the idle connections to all hosts except those with these ids."""
-        for host_id in self.idle.keys() - hosts:
+    def close_all_except(self, host_ids: set[str]) -> None:
+        """Close the idle connections to all hosts except those given."""
+        for host_id in self.idle.keys() - host_ids:
             for connection in self.idle.pop(host_id):
                 connection.abort()
 
--- a/pollenwalk/connection/engine_http.py
+++ b/pollenwalk/connection/engine_http.py
@@ -29,7 +29,8 @@
 READ_TIMEOUT_S = 30
 DATA_PREFIX = b'data:'
 DONE_DATA = b'[DONE]'
-# Advised to callers when the engine is overloaded.
+# Time after which a caller may repeat a call that the engine refused because it
+# is overloaded.
 RETRY_AFTER_MS = 500
 
 
@@ -56,8 +57,9 @@
 class Chunk(TypedDict, total=False):
     """The data of an event in an engine's stream.
 
-    `offset` is the number of tokens before the chunk. Only that of the first
-    chunk with tokens is used, and counts as 0 if it is missing.
+    `offset` is the number of tokens that come before the chunk. It is read from
+    the first chunk that has tokens, where 0 is assumed if it is missing, and
+    ignored in later chunks.
     """
 
     choices: list[Choice]
@@ -195,7 +197,11 @@
 async def read_items(
     response: aiohttp.ClientResponse,
 ) -> AsyncIterator[Tokens | Answer]:
-    """Yield the tokens of an engine's event stream, then the answer."""
+    """Yield the tokens of an engine's event stream, then the answer.
+
+    Raises:
+        Refusal: the data of an event is invalid.
+    """
     parser = EngineStreamParser()
     async for line in response.content:
         for item in parser.parse_line(line):
--- a/pollenwalk/connection/gateway_app.py
+++ b/pollenwalk/connection/gateway_app.py
@@ -29,7 +29,8 @@
     RefusalCode.UNKNOWN_TURN: HTTPStatus.NOT_FOUND,
     RefusalCode.BUDGET_EXHAUSTED: HTTPStatus.PAYMENT_REQUIRED,
 }
-# Statuses of all other refusals.
+# Statuses of all other refusals, except for a missed deadline after which the
+# call may have run: `status_of` returns 504 for it.
 STATUSES_BY_OUTCOME = {
     Outcome.NOT_RUN: HTTPStatus.SERVICE_UNAVAILABLE,
     Outcome.RAN: HTTPStatus.BAD_GATEWAY,
@@ -138,7 +139,7 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Read a request and answer it; cancel the answer if the caller leaves."""
+        """Read a request and answer it; stop answering if the caller disconnects."""
         arrived_ms = self.clock.now_ms()
         reply = AsgiReply(send, lambda: self.close_connections)
         try:
@@ -150,19 +151,19 @@
         if body is None:
             return
         request = read_request(scope, body, arrived_ms)
-        answering = asyncio.ensure_future(self.answer(request, reply))
-        disconnecting = asyncio.ensure_future(wait_for_disconnect(receive))
+        answer_task = asyncio.ensure_future(self.answer(request, reply))
+        disconnect_task = asyncio.ensure_future(wait_for_disconnect(receive))
         try:
             await asyncio.wait(
-                (answering, disconnecting),
+                (answer_task, disconnect_task),
                 return_when=asyncio.FIRST_COMPLETED,
             )
-            if not answering.done():
+            if not answer_task.done():
                 logger.info('caller_left', request=request.metadata.id)
         finally:
-            disconnecting.cancel()
-            answering.cancel()
-            await asyncio.gather(answering, disconnecting, return_exceptions=True)
+            disconnect_task.cancel()
+            answer_task.cancel()
+            await asyncio.gather(answer_task, disconnect_task, return_exceptions=True)
 
     async def answer(self, request: Request, reply: AsgiReply) -> None:
         """Answer a request, with a refusal if the handler fails.
@@ -233,7 +234,11 @@
 
 
 async def refuse(request: Request, refusal: Refusal, reply: AsgiReply) -> None:
-    """Log a refusal and answer with it unless the answer has already begun."""
+    """Log a refusal and send it as the answer to the request.
+
+    If another answer has already begun, nothing is sent, and the caller sees
+    that answer break off.
+    """
     logger.info(
         'refused',
         request=request.metadata.id,
--- a/pollenwalk/connection/grpc_network.py
+++ b/pollenwalk/connection/grpc_network.py
@@ -1,7 +1,7 @@
 """Channels over gRPC streams and datagrams over UDP.
 
-Frames are opaque bytes to gRPC, as the codec is in the module `wire`. So the
-gRPC service needs no generated code.
+gRPC carries the frames as opaque bytes, which the module `wire` encodes and
+decodes. The gRPC service therefore needs no generated code.
 """
 
 import asyncio
@@ -23,6 +23,8 @@
 METHOD = 'Exchange'
 MAX_FRAME_MIB = 32
 MAX_FRAME_BYTES = MAX_FRAME_MIB * 1024 * 1024
+# Interval of keep-alive pings, and time after which a connection is closed if a
+# ping is not acknowledged.
 KEEPALIVE_MS = 5000
 CHANNEL_OPTIONS = (
     ('grpc.max_send_message_length', MAX_FRAME_BYTES),
@@ -38,6 +40,7 @@
     ('grpc.http2.max_ping_strikes', 0),
     ('grpc.http2.min_recv_ping_interval_without_data_ms', KEEPALIVE_MS // 2),
 )
+# Time that open streams get to finish after a listener is closed.
 STOP_GRACE_S = 0.2
 
 
--- a/pollenwalk/connection/hosts_http.py
+++ b/pollenwalk/connection/hosts_http.py
@@ -12,7 +12,7 @@
 from pollenwalk.connection.http_client import HttpClient
 from pollenwalk.errors import ConnectionLost
 
-ANSWER_TIMEOUT_S = 2
+RESPONSE_TIMEOUT_S = 2
 LEAVING = 'leaving'
 DECODER = msgspec.json.Decoder(dict[str, str])
 
@@ -25,9 +25,9 @@
 
         Raises:
             ConnectionLost: the request failed, took longer than
-                ANSWER_TIMEOUT_S, or returned an invalid list.
+                RESPONSE_TIMEOUT_S, or returned an invalid list.
         """
-        timeout = aiohttp.ClientTimeout(total=ANSWER_TIMEOUT_S)
+        timeout = aiohttp.ClientTimeout(total=RESPONSE_TIMEOUT_S)
         try:
             async with self.open_session().get(
                 f'{self.url}/hosts',
--- a/pollenwalk/connection/http_api.py
+++ b/pollenwalk/connection/http_api.py
@@ -30,14 +30,18 @@
 from pollenwalk.version.resources import ProgramSpec
 
 MAX_BODY_BYTES = 1_000_000
+# Limit on the names and values of a request's headers. The HTTP server has a
+# higher limit, so that most requests above this one get a problem document.
 MAX_HEADER_BYTES = 16_384
+# Time from its arrival within which a call has to be answered: the default, and
+# the maximum that a caller may ask for.
 DEFAULT_DEADLINE_MS = 120_000
 MAX_DEADLINE_MS = 3_600_000
 KEY_HEADER = 'idempotency-key'
 CALLER_HEADER = 'x-pollenwalk-caller'
 ANONYMOUS = 'anonymous'
-PROBLEM_TYPE = 'application/problem+json'
-EVENT_TYPE = 'text/event-stream'
+PROBLEM_MEDIA_TYPE = 'application/problem+json'
+EVENTS_MEDIA_TYPE = 'text/event-stream'
 MS_PER_SECOND = 1000
 
 # Statuses of refusals by code; all others get 503.
@@ -98,7 +102,7 @@
         body,
         status_code=status,
         headers=headers,
-        media_type=PROBLEM_TYPE,
+        media_type=PROBLEM_MEDIA_TYPE,
     )
 
 
@@ -163,7 +167,7 @@
 
 
 def check_deadline(deadline_ms: int) -> float:
-    """Return a call's deadline, in ms from now, if it is within bounds.
+    """Return the time until a call's deadline, in ms, if it is within bounds.
 
     Raises:
         Refusal: the deadline is out of bounds.
@@ -233,7 +237,7 @@
     async def on_error(self, request: Request, error: Exception) -> Response:
         """Answer a request that raised an error with a problem document.
 
-        An error other than a refusal becomes one with an unknown outcome.
+        An error other than a refusal becomes one with the code OUTCOME_UNKNOWN.
         """
         refusal = error
         if not isinstance(refusal, Refusal):
@@ -243,7 +247,10 @@
         return refusal_response(refusal)
 
     async def on_disconnect(self, request: Request, error: Exception) -> Response:
-        """Return a response for a caller that disconnected while sending."""
+        """Handle a caller that disconnected before its request was complete.
+
+        Starlette requires a response here; the caller does not receive it.
+        """
         return Response(status_code=HTTPStatus.BAD_REQUEST)
 
     async def begin(self, request: Request) -> Response:
@@ -266,7 +273,7 @@
         """Answer `POST /v1/programs/{program}/calls`: run a call."""
         fields = await read_json(request, CallBody)
         program = request.path_params['program']
-        wants_events = EVENT_TYPE in request.headers.get('accept', '')
+        wants_events = EVENTS_MEDIA_TYPE in request.headers.get('accept', '')
         with self.entry.tracer.span(
             'entry',
             request.headers.get(TRACE_HEADER, ''),
@@ -309,7 +316,7 @@
         first = await anext(events)
         return StreamingResponse(
             prepend(first, events),
-            media_type=EVENT_TYPE,
+            media_type=EVENTS_MEDIA_TYPE,
             headers={'Cache-Control': 'no-store'},
         )
 
@@ -337,7 +344,7 @@
             )
 
     def encode_item(self, message: CallProgram, item: Tokens | Answer) -> bytes:
-        """Encode tokens, which are also counted, or the answer as an event."""
+        """Encode tokens or the answer as an event; count tokens in the metrics."""
         if isinstance(item, Tokens):
             self.metrics.count_tokens(len(item.texts))
             return encode_event('tokens', {'offset': item.offset, 'texts': item.texts})
@@ -372,7 +379,10 @@
         return JSONResponse({'ready': ready}, status_code=status)
 
     def can_serve(self) -> bool:
-        """Return whether programs are declared and their upstreams have hosts."""
+        """Return whether programs are declared and all their upstreams have hosts.
+
+        Only hosts that may get new calls are considered.
+        """
         names = [
             name
             for spec in self.entry.config.specs.values()
--- a/pollenwalk/connection/http_server.py
+++ b/pollenwalk/connection/http_server.py
@@ -7,10 +7,13 @@
 
 import uvicorn
 
-MAX_HEADER_BYTES = 32_768
+# Limit on the received bytes of a request head that is not complete yet.
+MAX_INCOMPLETE_HEAD_BYTES = 32_768
 # Time that requests in progress get to finish after `stop`.
 STOP_GRACE_S = 3
+# Time after which an idle connection is closed.
 KEEP_ALIVE_S = 5
+# Interval at which `start` checks whether the server listens.
 START_POLL_S = 0.005
 
 
@@ -53,7 +56,7 @@
             server_header=False,
             date_header=False,
             timeout_keep_alive=keep_alive_s,
-            h11_max_incomplete_event_size=MAX_HEADER_BYTES,
+            h11_max_incomplete_event_size=MAX_INCOMPLETE_HEAD_BYTES,
             timeout_graceful_shutdown=STOP_GRACE_S,
         )
         self.server = EmbeddedServer(config)
--- a/pollenwalk/connection/keepalive.py
+++ b/pollenwalk/connection/keepalive.py
@@ -8,8 +8,8 @@
 PROBE_IDLE_S = 1
 PROBE_INTERVAL_S = 1
 PROBE_COUNT = 2
-# Time after which the kernel closes a connection on which sent bytes are still
-# not acknowledged.
+# The kernel closes a connection if the peer does not acknowledge sent bytes
+# within this time.
 UNACKNOWLEDGED_TIMEOUT_MS = 2500
 
 
--- a/pollenwalk/connection/peer.py
+++ b/pollenwalk/connection/peer.py
@@ -46,7 +46,7 @@
 
 
 def ends_exchange(item: Any) -> bool:
-    """Return whether a queued item is the last of its exchange."""
+    """Return whether an item of an answer queue is the last of its exchange."""
     return item is END or isinstance(item, Exception)
 
 
@@ -54,28 +54,29 @@
     """Sends queued frames in batches and delays tokens to make batches larger.
 
     Attributes:
-        window_ms: maximum delay of tokens; 0 sends them at once.
+        coalesce_ms: maximum delay of tokens; 0 sends them at once.
         queue: frames that are not sent yet.
-        waiting: set while `queue` is not empty.
+        nonempty: set while `queue` is not empty.
         urgent: set while `queue` contains a frame that must not be delayed.
     """
 
-    def __init__(self, channel: Channel, clock: Clock, window_ms: float) -> None:
-        """Create a writer to `channel` that delays tokens by up to `window_ms`."""
+    def __init__(self, channel: Channel, clock: Clock, coalesce_ms: float) -> None:
+        """Create a writer to `channel` that delays tokens by up to `coalesce_ms`."""
         self.channel = channel
         self.clock = clock
-        self.window_ms = window_ms
+        self.coalesce_ms = coalesce_ms
         self.queue: list[Frame] = []
-        self.waiting = asyncio.Event()
+        self.nonempty = asyncio.Event()
         self.urgent = asyncio.Event()
 
     def put(self, frame: Frame) -> None:
         """Queue a frame.
 
-        Only tokens are delayed, except for the first tokens of an answer.
+        Tokens may be delayed, but not the first ones of an answer. All other
+        messages are urgent.
         """
         self.queue.append(frame)
-        self.waiting.set()
+        self.nonempty.set()
         if not isinstance(frame.body, Tokens) or not frame.body.offset:
             self.urgent.set()
 
@@ -86,20 +87,20 @@
             ConnectionLost: the channel has ended.
         """
         while True:
-            await self.waiting.wait()
+            await self.nonempty.wait()
             await self.wait_for_batch()
             batch = self.queue
             self.queue = []
-            self.waiting.clear()
+            self.nonempty.clear()
             self.urgent.clear()
             await self.channel.send(encode_frames(batch))
 
     async def wait_for_batch(self) -> None:
-        """Wait until the window has passed or an urgent frame is queued."""
-        if self.urgent.is_set() or not self.window_ms:
+        """Wait until `coalesce_ms` has passed or an urgent frame is queued."""
+        if self.urgent.is_set() or not self.coalesce_ms:
             return
         try:
-            async with self.clock.timeout_ms(self.window_ms):
+            async with self.clock.timeout_ms(self.coalesce_ms):
                 await self.urgent.wait()
         except TimeoutError:
             return
@@ -130,7 +131,11 @@
         return self.last_number, queue
 
     def deliver(self, frame: Frame) -> None:
-        """Queue an answer for its request; ignore it if the request has ended."""
+        """Queue what a frame contains for the request that it answers.
+
+        A refusal is queued as an exception, and the end of the exchange as END.
+        The frame is ignored if the request has ended.
+        """
         queue = self.queues.get(frame.exchange)
         if queue is None:
             return
@@ -247,12 +252,12 @@
     """A process at a known address; the connection to it is opened on demand.
 
     Attributes:
-        incarnation: id of this start of the own process.
-        zone: availability zone of the own process.
-        epoch: number of connections opened so far.
+        incarnation: id of this start of the requesting process; sent in `Hello`.
+        zone: availability zone of the requesting process; sent in `Hello`.
+        epoch: number of attempts to connect so far.
         connection: the latest connection; None before the first.
-        close_on_timeout: whether a request without an answer in time closes the
-            connection. For peers that answer every request quickly, so that a
+        close_on_timeout: whether a request that times out closes the connection.
+            It is set for peers that answer every request quickly, where a
             timeout means that the connection is dead.
     """
 
@@ -276,7 +281,7 @@
         self.close_on_timeout = False
 
     def identify(self, incarnation: str, zone: str) -> 'Peer':
-        """Set the own incarnation and zone, which `Hello` states; return self."""
+        """Set the incarnation and zone to send in `Hello`; return this peer."""
         self.incarnation = incarnation
         self.zone = zone
         return self
@@ -364,7 +369,7 @@
 
     Attributes:
         tasks: all tasks of the channel.
-        running: the tasks of unanswered requests by number of the exchange.
+        running: tasks of requests in progress by number of the exchange.
     """
 
     def __init__(self, tasks: TaskSet) -> None:
@@ -397,7 +402,7 @@
         clock: Clock,
         handler: Handler,
         boot_id: str,
-        window_ms: float = COALESCE_MS,
+        coalesce_ms: float = COALESCE_MS,
     ) -> None:
         """Create a server that answers requests with `handler`.
 
@@ -406,19 +411,19 @@
             handler: called for each request with the peer's `Hello` and the
                 request; yields the answers.
             boot_id: id of this start of the process.
-            window_ms: maximum delay of tokens that wait for more frames to be
+            coalesce_ms: maximum delay of tokens that wait for more frames to be
                 sent with them.
         """
         self.clock = clock
         self.handler = handler
         self.boot_id = boot_id
-        self.window_ms = window_ms
+        self.coalesce_ms = coalesce_ms
         self.channels: dict[Channel, None] = {}
 
     async def serve(self, channel: Channel) -> None:
         """Serve one channel until it ends, then cancel its tasks."""
         tasks = TaskSet()
-        writer = FrameWriter(channel, self.clock, self.window_ms)
+        writer = FrameWriter(channel, self.clock, self.coalesce_ms)
         self.channels[channel] = None
         tasks.spawn(self.write(writer), 'server_write')
         try:
--- a/pollenwalk/connection/service_http.py
+++ b/pollenwalk/connection/service_http.py
@@ -19,6 +19,7 @@
         HTTPStatus.SERVICE_UNAVAILABLE,
     )
 )
+# Time after which a caller may repeat a call that the service did not run.
 RETRY_AFTER_MS = 500
 OUTPUT_DECODER = msgspec.json.Decoder(dict[str, Any])
 
@@ -29,8 +30,8 @@
     No timeout is set here, as the sidecar limits the duration of the call.
     """
 
-    # If the service closed a reused connection just as a request was sent on
-    # it, the client could not tell whether the operation ran.
+    # A service may close an idle connection just as a request is sent on it. The
+    # client could not tell this from a failure after the operation ran.
     reuses_connections = False
 
     async def invoke(
--- a/pollenwalk/connection/store_http.py
+++ b/pollenwalk/connection/store_http.py
@@ -5,7 +5,7 @@
                                or neither
 DELETE /objects/KEY
 GET    /list?prefix=P          {"revision", "objects": [...]}
-GET    /watch?prefix=P&revision=R   the same, after the next change
+GET    /watch?prefix=P&revision=R   the changed objects, in the same form
 """
 
 import base64
@@ -20,7 +20,8 @@
 from pollenwalk.errors import StoreConflict, StoreUnavailable
 from pollenwalk.process.store import ABSENT, WATCH_TIMEOUT_MS, Changes, StoredObject
 
-ANSWER_TIMEOUT_S = 2
+RESPONSE_TIMEOUT_S = 2
+# Limit on a watch request, which the store answers after the next change.
 WATCH_TIMEOUT_S = 15
 
 
@@ -32,14 +33,14 @@
     version: int
 
 
-class Listing(NamedTuple):
+class ObjectListing(NamedTuple):
     """The response to a list or a watch request."""
 
     revision: int
     objects: list[ListedObject]
 
 
-LISTING_DECODER = msgspec.json.Decoder(Listing)
+LISTING_DECODER = msgspec.json.Decoder(ObjectListing)
 
 
 class HttpStore(HttpClient):
@@ -49,7 +50,7 @@
         self,
         method: str,
         path: str,
-        timeout_s: float = ANSWER_TIMEOUT_S,
+        timeout_s: float = RESPONSE_TIMEOUT_S,
         **options: Any,
     ) -> 'StoreResponse':
         """Send a request and return the response.
@@ -70,26 +71,26 @@
                 f'{self.url}{path}',
                 timeout=timeout,
                 **options,
-            ) as response:
-                answer = StoreResponse(
-                    response.status,
-                    await response.read(),
-                    response.headers.get('ETag', ''),
+            ) as http_response:
+                response = StoreResponse(
+                    http_response.status,
+                    await http_response.read(),
+                    http_response.headers.get('ETag', ''),
                 )
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise StoreUnavailable(f'{method} {path}: {error}') from error
-        if answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR or (
-            answer.status == HTTPStatus.TOO_MANY_REQUESTS
+        if response.status >= HTTPStatus.INTERNAL_SERVER_ERROR or (
+            response.status == HTTPStatus.TOO_MANY_REQUESTS
         ):
-            raise StoreUnavailable(f'{method} {path}: status {answer.status}')
-        return answer
+            raise StoreUnavailable(f'{method} {path}: status {response.status}')
+        return response
 
     async def get(self, key: str) -> StoredObject | None:
         """Return an object, or None if there is none with this key."""
-        answer = await self.request('GET', object_path(key))
-        if answer.status == HTTPStatus.NOT_FOUND:
+        response = await self.request('GET', object_path(key))
+        if response.status == HTTPStatus.NOT_FOUND:
             return None
-        return StoredObject(key, answer.body, answer.version)
+        return StoredObject(key, response.body, response.version)
 
     async def put(self, key: str, body: bytes, version: int | None) -> int:
         """Write an object and return its new version.
@@ -109,15 +110,15 @@
             headers['If-None-Match'] = '*'
         elif version is not None:
             headers['If-Match'] = f'"{version}"'
-        answer = await self.request(
+        response = await self.request(
             'PUT',
             object_path(key),
             data=body,
             headers=headers,
         )
-        if answer.status == HTTPStatus.PRECONDITION_FAILED:
+        if response.status == HTTPStatus.PRECONDITION_FAILED:
             raise StoreConflict(f'{key} does not have the expected version')
-        return answer.version
+        return response.version
 
     async def delete(self, key: str) -> None:
         """Delete an object; has no effect if there is none."""
@@ -125,8 +126,8 @@
 
     async def scan(self, prefix: str) -> Changes:
         """Return all objects whose keys begin with a prefix."""
-        answer = await self.request('GET', f'/list?prefix={quote(prefix)}')
-        return decode_changes(answer)
+        response = await self.request('GET', f'/list?prefix={quote(prefix)}')
+        return decode_changes(response)
 
     async def watch(
         self,
@@ -136,7 +137,8 @@
     ) -> Changes:
         """Wait for changes after a revision and return them.
 
-        `wait_ms` is not used; the request takes at most WATCH_TIMEOUT_S.
+        `wait_ms` is part of the interface, but this store has no parameter for
+        it. The request fails after WATCH_TIMEOUT_S.
         """
         path = f'/watch?prefix={quote(prefix)}&revision={revision}'
         return decode_changes(await self.request('GET', path, WATCH_TIMEOUT_S))
@@ -167,14 +169,14 @@
     return f'/objects/{quote(key)}'
 
 
-def decode_changes(answer: StoreResponse) -> Changes:
+def decode_changes(response: StoreResponse) -> Changes:
     """Decode the response to a list or a watch request.
 
     Raises:
         StoreUnavailable: the response can't be decoded.
     """
     try:
-        listing = LISTING_DECODER.decode(answer.body)
+        listing = LISTING_DECODER.decode(response.body)
         objects = [
             StoredObject(listed.key, base64.b64decode(listed.body), listed.version)
             for listed in listing.objects
--- a/pollenwalk/connection/tcp_network.py
+++ b/pollenwalk/connection/tcp_network.py
@@ -12,6 +12,7 @@
 from pollenwalk.errors import ConnectionLost
 
 LENGTH_BYTES = 4
+# The same limit of 32 MiB as over gRPC.
 MAX_FRAME_BYTES = 33_554_432
 
 
--- a/pollenwalk/connection/upstream.py
+++ b/pollenwalk/connection/upstream.py
@@ -11,7 +11,7 @@
 
     Attributes:
         call: id of the call.
-        program: id of the program, by which the engine caches tokens.
+        program: id of the program; the engine caches tokens under this id.
         messages: the history of the program, ending with the new message.
         max_tokens: limit on the generated tokens.
         priority: priority of the call at the engine.
--- a/pollenwalk/connection/upstream_connection.py
+++ b/pollenwalk/connection/upstream_connection.py
@@ -1,9 +1,9 @@
 """HTTP/1.1 connections to upstream hosts.
 
-The HTTP client library used elsewhere does not fit here, because it resends
-requests by itself on a reused connection and hides bytes that follow a complete
-answer. Both matter for whether a call has run and which request an answer
-belongs to.
+aiohttp, which the other HTTP clients use, does not fit here. It may resend a
+request by itself on a reused connection, so that one can't tell whether a call
+has run. It also hides bytes that follow a complete answer, so that a later
+request could get the answer to an earlier one.
 """
 
 import asyncio
@@ -21,7 +21,8 @@
 
 # Number of unread bytes above which reading from the host is paused.
 HIGH_WATER_BYTES = 262_144
-# Number of answers that are read in search of the one to the request.
+# Maximum number of answers read on a connection until one is the answer to the
+# current request.
 MAX_ANSWERS = 3
 
 
@@ -30,12 +31,12 @@
 
     Attributes:
         transport: transport of the connection; None until it is made.
-        received: received bytes that the parser has not got yet.
+        received: received bytes that are not passed to the parser yet.
         changed: set when bytes arrive and when the connection ends.
         writable: cleared while the transport's write buffer is full.
         in_use: whether a request is in progress.
-        ended: whether the host has closed its side in order.
-        reset: whether the connection ended without an orderly close by the host.
+        ended: whether the host has closed its side, as seen by an EOF.
+        reset: whether the connection ended without an EOF from the host.
         reusable: whether the connection can carry another request.
         idle_since_ms: time at which the pool got the connection back.
         keep_alive_ms: keep-alive timeout that the host announced; None if none.
@@ -66,8 +67,8 @@
     def data_received(self, chunk: bytes) -> None:
         """Buffer received bytes; close the connection if it is idle.
 
-        Bytes on an idle connection belong to no request, so that a later answer
-        could not be trusted.
+        Bytes that arrive on an idle connection belong to no request. They could
+        otherwise be taken for the answer to the next one.
         """
         if not self.in_use:
             self.abort()
@@ -156,7 +157,7 @@
             raise BrokenAnswer(f'invalid HTTP response: {error}') from error
 
     async def feed_parser(self) -> None:
-        """Wait for bytes or the orderly end and pass them to the parser.
+        """Wait for received bytes or EOF, and pass them to the parser.
 
         Raises:
             BrokenAnswer: the connection was reset or the data is not valid HTTP.
@@ -178,7 +179,7 @@
             raise BrokenAnswer(f'invalid HTTP response: {error}') from error
 
     async def read_head(self, request: str) -> AnswerHead:
-        """Wait for the head of the answer to a request; skip other answers.
+        """Wait for the head of the answer to a request; skip answers to others.
 
         Args:
             request: id of the request. An answer that states another one is
@@ -216,7 +217,7 @@
         return found
 
     async def read_body(self) -> bytes:
-        """Read the body of the current answer.
+        """Read the rest of the body of the current answer.
 
         Raises:
             BrokenAnswer: the body is incomplete.
--- a/pollenwalk/connection/wire.py
+++ b/pollenwalk/connection/wire.py
@@ -1,9 +1,10 @@
 """The messages between pollenwalk processes, and their encoding.
 
 Each message is a `NamedTuple` and is encoded as a msgpack array, so the order
-of its fields is part of the protocol and their names are not. A frame contains
-one message and states its kind, which is the name of the message type. A frame
-that can't be decoded ends the connection.
+of its fields is part of the protocol and their names are not. A `Frame` contains
+one message and states its kind, which is the name of the message type. Several
+frames can be encoded together as one payload for a channel. A payload that can't
+be decoded ends the connection.
 """
 
 from collections.abc import Iterable
@@ -41,9 +42,9 @@
     Attributes:
         protocol: protocol version of the sender.
         incarnation: id of this start of the sending process.
-        epoch: number of this connection among those of the incarnation to the
-            same peer. The peer can thereby reject what still arrives on an
-            earlier connection.
+        epoch: a number that increases with each connection from this incarnation
+            to the same peer, so that the peer can reject requests that still
+            arrive on an earlier connection.
         zone: availability zone of the sender.
     """
 
@@ -54,7 +55,12 @@
 
 
 class Welcome(NamedTuple):
-    """The answer to `Hello`; `boot_id` is the id of this start of the peer."""
+    """The answer to `Hello`.
+
+    Attributes:
+        protocol: protocol version of the answering process.
+        boot_id: id of this start of the answering process.
+    """
 
     protocol: int
     boot_id: str
@@ -77,9 +83,9 @@
         operation: name of the operation.
         idempotent: whether the call may be run more than once.
         argument: input of the operation.
-        base: digest of the history that the sidecar is expected to have cached;
-            empty if `delta` is the whole history.
-        delta: the history after `base`.
+        base: digest of the first part of the history, which the sidecar is
+            expected to have cached; empty if `delta` is the whole history.
+        delta: the rest of the history.
         digest: digest of the whole history.
         max_tokens: limit on the generated tokens.
         priority: priority of the call.
@@ -117,8 +123,8 @@
     Attributes:
         output: output of the operation.
         tokens: number of generated tokens.
-        prefilled: number of prompt tokens that the engine computed, as they
-            were not in its cache.
+        prefilled: number of prompt tokens that were not in the engine's cache
+            and had to be computed.
         remaining_calls: number of calls that are still running or queued at the
             sidecar. The entry thereby knows the load before the next report.
     """
@@ -151,7 +157,12 @@
 
 
 class Resolution(NamedTuple):
-    """The answer to `Resolve`: state 'done', 'running' or 'not_run'."""
+    """The answer to `Resolve`.
+
+    Attributes:
+        state: 'done' if the call has ended at the sidecar, 'running' if it is
+            queued or running there, 'not_run' if the sidecar does not have it.
+    """
 
     state: str
 
@@ -321,7 +332,11 @@
 
 
 class HandOver(NamedTuple):
-    """Request of a stopping entry to take over its programs now."""
+    """Request that a stopping entry sends to another, to take over its programs.
+
+    Attributes:
+        incarnation: incarnation of the stopping entry.
+    """
 
     incarnation: str
 
@@ -359,9 +374,14 @@
 
 
 class Beat(NamedTuple):
-    """Heartbeat of an entry, sent by datagram; each has a higher number.
+    """Heartbeat of an entry, sent by datagram.
 
-    Sent as a request with number 0, it checks whether a process answers.
+    It is also sent as a request, to check whether a process answers; its number
+    is then 0.
+
+    Attributes:
+        incarnation: incarnation of the sender; empty if it is a command.
+        number: number of the heartbeat, which increases with each.
     """
 
     incarnation: str
@@ -381,7 +401,7 @@
 
 
 class UpstreamConfig(NamedTuple):
-    """A newer accepted declaration of an upstream, sent to its sidecars.
+    """The accepted declaration of an upstream, sent to its sidecars.
 
     It is sent when it is accepted, and in response to each report that states
     an older version.
@@ -447,7 +467,7 @@
 
 
 class Frame(NamedTuple):
-    """One message of an exchange, which is a request with its responses.
+    """One message of an exchange, which is a request with its answers.
 
     Attributes:
         exchange: number of the exchange on its connection.
@@ -474,12 +494,12 @@
 
 
 def encode_frames(frames: Iterable[Frame]) -> bytes:
-    """Encode frames as one message of a channel."""
+    """Encode frames as one payload for a channel."""
     return ENCODER.encode(list(frames))
 
 
 def decode_frames(payload: bytes) -> list[Frame]:
-    """Decode the frames in one message of a channel.
+    """Decode the frames in one payload of a channel.
 
     Raises:
         Refusal: the payload is malformed; the code is `protocol`.
