--- a/pollenwalk/connection/http_api.py
+++ b/pollenwalk/connection/http_api.py
@@ -209,7 +209,7 @@
     """The HTTP API of an entry for callers and operators."""
 
     def __init__(self, entry: Entry, metrics: EntryMetrics) -> None:
-        """Create the API of `entry`, which counts its requests in `metrics`."""
+        """Create the API of `entry`; requests are counted in `metrics`."""
         self.entry = entry
         self.metrics = metrics
 
--- a/pollenwalk/connection/store_http.py
+++ b/pollenwalk/connection/store_http.py
@@ -44,7 +44,10 @@
 
 
 class HttpStore(HttpClient):
-    """A client of the object store; implements `ObjectStore`."""
+    """A client of the object store; implements `ObjectStore`.
+
+    Every method raises `StoreUnavailable` if no usable response arrives in time.
+    """
 
     async def request(
         self,
--- a/pollenwalk/connection/wire.py
+++ b/pollenwalk/connection/wire.py
@@ -136,7 +136,7 @@
 
 
 class NeedHistory(NamedTuple):
-    """Answer to `Dispatch`: the sidecar does not have the history `base`."""
+    """Answer to `Dispatch`: the sidecar has no history with the digest `base`."""
 
     program: str
 
@@ -211,11 +211,12 @@
         declaration: name of the declared program.
         caller: name of the caller.
         key: idempotency key; empty if none.
-        budget: token budget, at most that of the declaration; None for that one.
-        deadline_ms: time that the program may take, at most that of the
-            declaration; None for that one.
-        parent: id of the program whose budget this one's is taken from; None if
-            there is none.
+        budget: token budget, limited by that of the declaration; None to use
+            the declaration's.
+        deadline_ms: time that the program may take, limited by that of the
+            declaration; None to use the declaration's.
+        parent: id of the program from whose budget the new program's budget is
+            taken; None if there is none.
         program: id of the new program; empty until it is determined.
     """
 
@@ -298,7 +299,7 @@
 
 
 class WitnessAppend(NamedTuple):
-    """Journal batches for a witness, which are not in the store yet.
+    """Journal batches that are not in the store yet, sent to a witness.
 
     Attributes:
         incarnation: the owner whose journal it is.
