--- a/pollenwalk/connection/grpc_network.py
+++ b/pollenwalk/connection/grpc_network.py
@@ -195,16 +195,16 @@
             context: grpc.aio.ServicerContext,
         ) -> None:
             channel = ServerChannel(requests, context)
-            serving = asyncio.ensure_future(handler(channel))
-            closing = asyncio.ensure_future(channel.closed.wait())
+            handler_task = asyncio.ensure_future(handler(channel))
+            closed_task = asyncio.ensure_future(channel.closed.wait())
             try:
                 await asyncio.wait(
-                    (serving, closing),
+                    (handler_task, closed_task),
                     return_when=asyncio.FIRST_COMPLETED,
                 )
             finally:
-                closing.cancel()
-                serving.cancel()
+                closed_task.cancel()
+                handler_task.cancel()
 
         server = grpc.aio.server(options=CHANNEL_OPTIONS)
         method = grpc.stream_stream_rpc_method_handler(exchange)
