--- a/pollenwalk/commands/main.py
+++ b/pollenwalk/commands/main.py
@@ -1,4 +1,4 @@
-"""The command line: picks a subcommand and shows errors as one line."""
+"""The command line: runs a subcommand and prints errors to standard error."""
 
 import argparse
 import sys
@@ -12,9 +12,9 @@
     experiment,
     explain,
     resources,
+    scenarios,
     standin,
     status,
-    testing,
 )
 from pollenwalk.errors import PollenwalkError, UserError
 
@@ -22,7 +22,7 @@
 EXIT_FAILED = 1
 EXIT_USAGE = 2
 
-MODULES = (
+COMMAND_MODULES = (
     daemons,
     resources,
     deployment,
@@ -30,19 +30,20 @@
     explain,
     demo,
     standin,
-    testing,
+    scenarios,
     experiment,
 )
 EPILOG = """\
 exit codes:
-  0  done
-  1  the work failed: a promise was broken, a run did not complete
-  2  the command line, a settings file or a resource file is wrong
+  0  success
+  1  the command failed: for example, a resource was refused, a guarantee was
+     violated or a program did not complete
+  2  the command line, a settings file or a resource file is invalid
 """
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Build the parser of all subcommands."""
+    """Build the parser of the command line with all subcommands."""
     parser = argparse.ArgumentParser(
         prog='pollenwalk',
         description='A scheduler for agent programs.',
@@ -55,7 +56,7 @@
         required=True,
         metavar='COMMAND',
     )
-    for module in MODULES:
+    for module in COMMAND_MODULES:
         module.add_parser(subparsers)
     return parser
 
@@ -64,8 +65,8 @@
     """Run one subcommand.
 
     Args:
-        arguments: the words after the program's name; those of the process
-            when None.
+        arguments: the arguments without the program's name; None for those of
+            the process.
 
     Returns:
         The exit code.
