--- a/pollenwalk/commands/daemons.py
+++ b/pollenwalk/commands/daemons.py
@@ -70,16 +70,16 @@
         'gateway',
         "forward callers' requests to upstream hosts, until SIGTERM",
         'Runs a gateway: routes requests by the configuration in the store, '
-        'chooses upstream hosts and completes the prompts of turns. On SIGTERM '
-        'it reports that it is not ready, finishes the requests in progress '
-        'within its grace period and exits with 0.',
+        'chooses upstream hosts and adds the earlier turns of a program to its '
+        'prompts. On SIGTERM it reports that it is not ready, finishes the '
+        'requests in progress within its grace period and exits with 0.',
         run_gateway,
     ),
     Daemon(
         'keeper',
         "store programs' turns and budgets on disk, until SIGTERM",
-        "Runs a keeper: one of the replicas that store programs' turns and the "
-        'tokens that they have spent on disk.',
+        "Runs a keeper: stores copies of programs' turns, and how many tokens "
+        'each program has spent, on its disk.',
         run_keeper,
     ),
     Daemon(
--- a/pollenwalk/commands/demo.py
+++ b/pollenwalk/commands/demo.py
@@ -1,4 +1,7 @@
-"""The subcommand `demo`: the system and its stand-ins, all in one process."""
+"""The subcommand `demo`: runs the system in one process.
+
+Stand-ins replace the external systems.
+"""
 
 import argparse
 import asyncio
@@ -10,7 +13,9 @@
 
 DEFAULT_PROGRAMS = 20
 DEFAULT_PORT = 8400
-# The report's counters and their labels in the table.
+# The report's counters and their labels in the table. `mixed` counts answers that
+# don't match their calls, `doubled` non-idempotent calls that ran more than once,
+# and `out_of_order` programs whose calls arrived out of sequence.
 LABELS = (
     ('programs_begun', 'programs begun'),
     ('programs_completed', 'programs completed'),
@@ -24,7 +29,8 @@
     ('wasted_cache_tokens', 'wasted cache, tokens'),
     ('cross_region_bytes', 'cross-region bytes'),
 )
-# Counters that are 0 unless a guarantee was violated.
+# Counters that are 0 unless a guarantee was violated. `held_after_end` is not
+# listed, as it counts tokens, but it must be 0 as well.
 VIOLATION_COUNTS = ('lost', 'mixed', 'doubled', 'out_of_order', 'over_budget')
 
 
@@ -34,10 +40,11 @@
         'demo',
         help='run the programs of two deployments on stand-ins and print a report',
         description=(
-            'Runs stand-ins, two entries and a sidecar for each upstream host on '
-            "loopback, and sends the calls of the two deployments' programs "
-            'through them. All figures are counted by the stand-ins and the '
-            'callers. Exits with 1 if a guarantee was violated.'
+            'Runs on loopback: stand-ins for the external systems, two entries '
+            'and a sidecar for each upstream host. Simulated callers run the '
+            'programs of two deployments, spares-dispatch and tea-chest. All '
+            'figures are counted by the stand-ins and the callers. Exits with 1 '
+            'if a guarantee was violated.'
         ),
     )
     parser.add_argument(
@@ -69,7 +76,9 @@
         ),
     )
     parser.add_argument(
-        '--log-level', default='ERROR', help='lowest level that is logged'
+        '--log-level',
+        default='ERROR',
+        help='lowest level of the JSON log lines on standard error (default ERROR)',
     )
     parser.set_defaults(run=run)
 
--- a/pollenwalk/commands/deployment.py
+++ b/pollenwalk/commands/deployment.py
@@ -37,7 +37,10 @@
         action='append',
         default=[],
         metavar='FILE',
-        help='example of a field file of a host, lines name=value; may be repeated',
+        help=(
+            "example of a host's field file, with lines name=value; repeat the "
+            'option to give one file for each class of hosts'
+        ),
     )
     parser.set_defaults(run=run_check)
 
--- a/pollenwalk/commands/experiment.py
+++ b/pollenwalk/commands/experiment.py
@@ -17,7 +17,7 @@
     """Add the subcommand."""
     parser: argparse.ArgumentParser = subparsers.add_parser(
         'experiment',
-        help='run a measurement; ratios are taken between values of one run',
+        help='run a measurement; ratios only compare values of the same run',
         description='docs/experiments.md describes what each experiment measures.',
     )
     parser.add_argument('name', choices=EXPERIMENTS)
@@ -38,6 +38,8 @@
         1 if a plot was asked for and the experiment has none, else 0.
     """
     set_up_logs('CRITICAL')
+    # Imported here because the experiments are in the source tree but not in an
+    # installation.
     module = importlib.import_module(f'standin.experiments.{options.name}')
     result = module.run(options.seed)
     indent = None if options.json else INDENT
--- a/pollenwalk/commands/explain.py
+++ b/pollenwalk/commands/explain.py
@@ -1,4 +1,4 @@
-"""The subcommand `explain`: the log lines of one request, in order of time."""
+"""The subcommand `explain`: the log lines of one request in time order."""
 
 import argparse
 import json
@@ -12,8 +12,9 @@
 # Fields that are not printed as `name=value`. Time and event have columns of
 # their own; level and module are left out.
 EXCLUDED_FIELDS = frozenset(('time', 'level', 'event', 'module'))
-# Events about the state of a process that may affect how it handles a request,
-# such as a new configuration or a lost keeper.
+# Events that may explain what happened to a request although they don't name it:
+# changes of a process's state, such as a new configuration or a lost keeper, and
+# `dropped`, which counts missing log lines; `read_lines` skips it, as it has no time.
 CONTEXT_EVENTS = frozenset(
     (
         'configuration',
@@ -38,7 +39,7 @@
         source: the text before the JSON, such as a host's name.
         time: when it was logged, by the clock of the process that logged it.
         event: name of the event.
-        fields: all other fields but those in EXCLUDED_FIELDS.
+        fields: the fields that are not in EXCLUDED_FIELDS.
     """
 
     source: str
@@ -51,12 +52,12 @@
     """Add the subcommand."""
     parser: argparse.ArgumentParser = subparsers.add_parser(
         'explain',
-        help="print one request's log lines in order of time",
+        help="print one request's log lines in time order",
         description=(
             'Reads log lines of one or several processes from standard input '
-            'and prints those of one request in order of time, each with the '
-            'time since the first. Between them, indented, are lines about '
-            'changes in the state of the processes, such as a new configuration.'
+            'and prints those of one request in time order, each with the time '
+            'since the first. Lines about state changes of the processes during '
+            'the request, such as a new configuration, are printed indented.'
         ),
     )
     parser.add_argument('request', metavar='REQUEST-ID')
@@ -64,7 +65,7 @@
 
 
 def run_explain(options: argparse.Namespace) -> int:
-    """Print the log lines of one request and of state changes meanwhile.
+    """Print one request's log lines and the context events during the request.
 
     Raises:
         UserError: there is no log line of the request.
@@ -83,7 +84,10 @@
 
 
 def read_lines(source: Iterable[str]) -> Iterator[LogLine]:
-    """Parse the JSON in each line; skip lines without JSON or a valid time."""
+    """Parse the JSON in each line; skip lines without JSON or a valid time.
+
+    Lines of the event `dropped` have no time, so they are skipped, too.
+    """
     for text in source:
         prefix, brace, rest = text.partition('{')
         try:
@@ -103,7 +107,7 @@
     """Yield the request's lines and the context events during the request.
 
     Args:
-        lines: all lines, in order of time.
+        lines: all lines, in time order.
         request_lines: the lines of the request among them.
     """
     first = request_lines[0].time
--- a/pollenwalk/commands/options.py
+++ b/pollenwalk/commands/options.py
@@ -21,12 +21,12 @@
 
 
 def add_store_options(parser: argparse.ArgumentParser) -> None:
-    """Add `--store` and `--config`; one of them must name the object API."""
+    """Add `--store` and `--config`, of which exactly one must be given."""
     group = parser.add_mutually_exclusive_group(required=True)
     group.add_argument(
         '--store',
         metavar='URL',
-        help="URL of the platform's object API",
+        help="URL of the platform's object store",
     )
     group.add_argument(
         '--config',
@@ -39,7 +39,7 @@
 def open_store(options: argparse.Namespace) -> HttpStore:
     """Open the store that `--store` or the settings file names.
 
-    Logs are set up as well: errors go to standard error.
+    Also sets up logging: only errors are logged, to standard error.
 
     Raises:
         UserError: the settings file is invalid or can't be read.
--- a/pollenwalk/commands/resources.py
+++ b/pollenwalk/commands/resources.py
@@ -69,7 +69,10 @@
     apply.add_argument(
         '--version',
         type=int,
-        help='update only if the resource has this version; for a single resource',
+        help=(
+            'update only if the stored resource has this version; the files must '
+            'contain exactly one resource'
+        ),
     )
     apply.set_defaults(run=run_apply)
     get = subparsers.add_parser('get', help='print resources and their specs in force')
@@ -138,7 +141,12 @@
 
 
 def run_apply(options: argparse.Namespace) -> int:
-    """Write the resources of files and print whether each was accepted."""
+    """Write the resources of files and print whether each was accepted.
+
+    Raises:
+        UserError: a file is invalid or can't be read, or `--version` is given
+            and the files don't contain exactly one resource.
+    """
     parsed_resources = read_files(options.files)
     if options.version is not None and len(parsed_resources) != 1:
         raise UserError('--version requires exactly one resource in the files')
@@ -148,21 +156,24 @@
 async def apply_resources(
     options: argparse.Namespace, parsed_resources: list[ParsedResource]
 ) -> int:
-    """Write resources, programs last because they refer to upstreams.
+    """Write resources and print whether each was accepted.
+
+    Programs are written last because they refer to upstreams.
 
     Returns:
-        1 if any resource was refused or has no acceptance status yet, else 0.
+        0 if all were accepted; 1 if one was refused or not evaluated before the
+        timeout of `ResourceClient.wait_for_status`.
     """
     store = open_store(options)
     client = ResourceClient(store, LoopClock())
-    refused = 0
+    failed = 0
     try:
         for parsed in sorted(parsed_resources, key=is_program):
             if not await apply_resource(client, parsed, options.version):
-                refused += 1
+                failed += 1
     finally:
         await store.close()
-    return EXIT_FAILED if refused else 0
+    return EXIT_FAILED if failed else 0
 
 
 def is_program(parsed: ParsedResource) -> bool:
@@ -188,7 +199,7 @@
     desired_version = await client.apply(resource_id, parsed.keys, version)
     status = await client.wait_for_status(resource_id, desired_version)
     if status is None:
-        sys.stdout.write(f'{name}: written, no acceptance status yet\n')
+        sys.stdout.write(f'{name}: written, but not yet evaluated by an entry\n')
         return False
     if status.reason:
         sys.stdout.write(f'{name}: refused: {status.reason}\n')
@@ -216,8 +227,8 @@
     selected = [
         view for view in views if not options.names or view.name in options.names
     ]
-    for resource in selected:
-        sys.stdout.write(f'{json.dumps(resource._asdict())}\n')
+    for selected_view in selected:
+        sys.stdout.write(f'{json.dumps(selected_view._asdict())}\n')
     missing = set(options.names) - {view.name for view in selected}
     for name in sorted(missing):
         sys.stderr.write(f'pollenwalk: no such resource: {name}\n')
@@ -236,7 +247,8 @@
     """Write the deletion of a resource and wait until it has been evaluated.
 
     Returns:
-        0 if the deletion has an acceptance status, else 1 (after a timeout).
+        0 if it has been evaluated; 1 if not before the timeout of
+        `ResourceClient.wait_for_status`.
     """
     store = open_store(options)
     client = ResourceClient(store, LoopClock())
@@ -245,7 +257,7 @@
         status = await client.wait_for_status(resource_id, desired_version)
     finally:
         await store.close()
-    outcome = 'deleted' if status else 'written, no acceptance status yet'
+    outcome = 'deleted' if status else 'written, but not yet evaluated by an entry'
     sys.stdout.write(f'{resource_id.kind}/{resource_id.name}: {outcome}\n')
     return 0 if status else EXIT_FAILED
 
--- a/pollenwalk/commands/scenarios.py
+++ b/pollenwalk/commands/scenarios.py
@@ -1,6 +1,7 @@
-"""The subcommands `scenario` and `explore`: tests with faults in virtual time.
+"""The subcommands `scenario` and `explore`: tests with injected faults.
 
-Both run the system on stand-ins and check that its guarantees hold.
+Both run the system on stand-ins and a virtual clock, and check that the
+guarantees hold.
 """
 
 import argparse
@@ -23,16 +24,18 @@
     )
     scenario.add_argument('files', nargs='+', type=Path, metavar='FILE')
     scenario.add_argument(
-        '--log-level', default='ERROR', help='lowest level that is logged'
+        '--log-level',
+        default='ERROR',
+        help='lowest level of the JSON log lines on standard error (default ERROR)',
     )
     scenario.set_defaults(run=run_scenarios)
     explore: argparse.ArgumentParser = subparsers.add_parser(
         'explore',
         help='search for random faults that violate a guarantee',
         description=(
-            'Runs random scenarios and checks all guarantees by what the '
-            'stand-ins and the callers saw. A failing scenario is reduced to a '
-            'smaller one and written to a file; the exit code is then 1.'
+            'Runs random scenarios and checks all guarantees against what the '
+            'stand-ins and the callers recorded. A failing scenario is reduced '
+            'to a smaller one and written to a file; the exit code is then 1.'
         ),
     )
     explore.add_argument('--seed', type=int, default=1)
@@ -42,7 +45,7 @@
         type=Path,
         default=Path('found.txt'),
         metavar='FILE',
-        help='file for a failing scenario (default found.txt)',
+        help='file for the reduced failing scenario (default found.txt)',
     )
     explore.set_defaults(run=run_explore)
 
@@ -76,11 +79,12 @@
 
 
 def run_explore(options: argparse.Namespace) -> int:
-    """Run random scenarios until one fails, and write that one to a file.
+    """Run random scenarios; reduce a failing one and write it to a file.
 
     Returns:
         1 if a scenario failed, else 0.
     """
+    # Imported here for the same reason as in `run_scenarios`.
     from standin.scenario.explorer import explore, save  # noqa: PLC0415, WPS433
 
     set_up_logs('CRITICAL')
--- a/pollenwalk/commands/standin.py
+++ b/pollenwalk/commands/standin.py
@@ -37,23 +37,23 @@
         '--step-ms',
         type=float,
         default=DEFAULT_STEP_MS,
-        help='duration of one step of an engine, in ms (default 10)',
+        help='duration of one batch step of an engine, in ms (default 10)',
     )
     standin.add_argument(
         '--slots',
         type=int,
         default=DEFAULT_SLOTS,
-        help='number of calls in one batch of an engine (default 8)',
+        help='maximum number of calls in one batch of an engine (default 8)',
     )
     standin.set_defaults(run=run_standin)
     load: argparse.ArgumentParser = subparsers.add_parser(
         'load',
         help='run programs against running entries and print a report',
         description=(
-            'Runs the programs of two deployments against running entries. '
-            'Prints the progress to standard error and the report as one JSON '
-            'object to standard output. Exits with 1 if a program did not '
-            'complete.'
+            'Runs the programs of two deployments, spares-dispatch and '
+            'tea-chest, against running entries. Prints the progress to standard '
+            'error and the report as one JSON object to standard output. Exits '
+            'with 1 if a program did not complete.'
         ),
     )
     add_config_option(load)
@@ -78,6 +78,7 @@
     Returns:
         1 if a program did not complete, else 0.
     """
+    # Imported here for the same reason as in `run_standin`.
     from standin.load import run_programs  # noqa: PLC0415, WPS433
 
     settings = read_settings(options.config, 'load')
--- a/pollenwalk/commands/status.py
+++ b/pollenwalk/commands/status.py
@@ -15,7 +15,8 @@
 from pollenwalk.process.directory import Directory
 from pollenwalk.process.tasks import TaskSet
 
-# Maximum time until a process has answered a request.
+# Maximum time for a process to answer a request, including the time to connect
+# if there is no connection yet.
 ANSWER_TIMEOUT_MS = 2000
 
 
@@ -47,7 +48,7 @@
 async def print_entries(options: argparse.Namespace) -> int:
     """Print the record of each entry, and whether it answers.
 
-    Only entries without a successor are asked.
+    Entries with a successor have been taken over, so they are not asked.
 
     Raises:
         StoreUnavailable: the store did not answer.
@@ -100,7 +101,8 @@
     Raises:
         ConnectionLost: the sidecar can't be reached, or did not answer within
             ANSWER_TIMEOUT_MS.
-        Refusal: the sidecar refused.
+        Refusal: the process there uses another protocol version or doesn't
+            know the request.
     """
     tasks = TaskSet()
     peer = Peer(address, GrpcNetwork(), LoopClock(), tasks)
