--- a/pollenwalk/process/keeper_state.py
+++ b/pollenwalk/process/keeper_state.py
@@ -1,23 +1,24 @@
 """The turns and token accounts of one keeper, in memory and on disk."""
 
-from collections.abc import Collection
-from collections.abc import Iterable
-from collections.abc import Iterator
+import asyncio
+from collections.abc import Collection, Iterable, Iterator
+from typing import Any
+
 from loguru import logger
-from pollenwalk.connection.wire import decode_datagram
-from pollenwalk.connection.wire import encode_datagram
+
+from pollenwalk.connection.wire import decode_datagram, encode_datagram
 from pollenwalk.errors import PollenwalkError
 from pollenwalk.process.clock import Clock
 from pollenwalk.process.record_log import RecordDisk
 from pollenwalk.program.ledger import Ledger
 from pollenwalk.program.turn_index import TurnIndex
-from pollenwalk.program.turns import Chain
-from pollenwalk.program.turns import ReserveTokens
-from pollenwalk.program.turns import SettleTokens
-from pollenwalk.program.turns import TokenEntry
-from pollenwalk.program.turns import TurnRecord
-from typing import Any
-import asyncio
+from pollenwalk.program.turns import (
+    Chain,
+    ReserveTokens,
+    SettleTokens,
+    TokenEntry,
+    TurnRecord,
+)
 
 # The log is compacted once this much has been written to it. Expired records may
 # thus fill about a tenth of the smallest disk of any deployment, which has 350 MB.
--- a/pollenwalk/request/reservation.py
+++ b/pollenwalk/request/reservation.py
@@ -1,21 +1,22 @@
 """Reservation of tokens of a program's budget for one turn."""
 
+import asyncio
+
 from loguru import logger
-from pollenwalk.errors import Refusal
-from pollenwalk.errors import RefusalCode
+
+from pollenwalk.errors import Refusal, RefusalCode
 from pollenwalk.process.clock import MS_PER_SECOND
 from pollenwalk.process.gateway_metrics import GatewayMetrics
 from pollenwalk.process.keeper_group import KeeperGroup
 from pollenwalk.process.turn_replication import keepers_unavailable
-from pollenwalk.program.ledger import AnswerCount
-from pollenwalk.program.ledger import BudgetDecision
-from pollenwalk.program.ledger import decide_reservation
-from pollenwalk.program.ledger import fits_with_hidden_turns
-from pollenwalk.program.turns import ReserveTokens
-from pollenwalk.program.turns import Spent
-from pollenwalk.program.turns import TokenEntry
+from pollenwalk.program.ledger import (
+    AnswerCount,
+    BudgetDecision,
+    decide_reservation,
+    fits_with_hidden_turns,
+)
+from pollenwalk.program.turns import ReserveTokens, Spent, TokenEntry
 from pollenwalk.request.gateway_call import Call
-import asyncio
 
 
 class Reservation:
--- a/test/process/test_keepers.py
+++ b/test/process/test_keepers.py
@@ -1,35 +1,28 @@
 """Tests of keepers and of the gateways that write to them, in virtual time."""
 
-from pollenwalk.errors import Refusal
-from pollenwalk.errors import RefusalCode
+import random
+from typing import Any
+
+import testtools
+
+from pollenwalk.errors import Refusal, RefusalCode
 from pollenwalk.process.joining import Joining
-from pollenwalk.process.keeper import Keeper
-from pollenwalk.process.keeper import KeeperSettings
+from pollenwalk.process.keeper import Keeper, KeeperSettings
 from pollenwalk.process.keeper_group import KeeperGroup
 from pollenwalk.process.keeper_links import KeeperLinks
 from pollenwalk.process.keeper_members import KEEPERS_PREFIX
 from pollenwalk.process.keeper_state import KeeperState
-from pollenwalk.process.prefix_watcher import PrefixWatcher
-from pollenwalk.process.prefix_watcher import WatchHandlers
+from pollenwalk.process.prefix_watcher import PrefixWatcher, WatchHandlers
 from pollenwalk.process.retirement import Retirement
 from pollenwalk.process.tasks import TaskSet
 from pollenwalk.process.turn_replication import NEAR_HEDGE_MS
-from pollenwalk.program.turns import ReserveTokens
-from pollenwalk.program.turns import SettleTokens
-from pollenwalk.program.turns import TurnRecord
-from standin.link import Place
-from standin.link import REGION_MS
+from pollenwalk.program.turns import ReserveTokens, SettleTokens, TurnRecord
+from standin.link import REGION_MS, Place
 from standin.memory_disk import MemoryDisk
-from standin.store import Faults
-from standin.store import MemoryStore
-from standin.virtual.fabric import Fabric
-from standin.virtual.fabric import VirtualNetwork
-from standin.virtual.node import Node
-from standin.virtual.node import NodeClock
+from standin.store import Faults, MemoryStore
+from standin.virtual.fabric import Fabric, VirtualNetwork
+from standin.virtual.node import Node, NodeClock
 from test.helper import virtual
-from typing import Any
-import random
-import testtools
 
 REGIONS = {'a': 'east', 'b': 'east', 'c': 'west', 'd': 'east'}
 RETENTION_MS = 60_000.0
