--- a/pollenwalk/process/fleet.py
+++ b/pollenwalk/process/fleet.py
@@ -24,8 +24,8 @@
     region: str
 
 
-class UpstreamHost:
-    """One upstream host: its last report and this entry's calls there.
+class ReportedHost:
+    """An upstream host known from its sidecar's reports, and this entry's calls there.
 
     Attributes:
         report: the last report.
@@ -95,7 +95,7 @@
         """Create an empty fleet; `regions` maps each zone to its region."""
         self.clock = clock
         self.regions = regions
-        self.hosts: dict[str, UpstreamHost] = {}
+        self.hosts: dict[str, ReportedHost] = {}
         self.report_interval_ms = INITIAL_REPORT_INTERVAL_MS
         self.leaving_addresses: frozenset[str] = frozenset()
 
@@ -104,7 +104,7 @@
         now_ms = self.clock.now_ms()
         host = self.hosts.get(report.sidecar)
         if host is None:
-            self.hosts[report.sidecar] = UpstreamHost(report, now_ms)
+            self.hosts[report.sidecar] = ReportedHost(report, now_ms)
         else:
             host.update(report, now_ms)
 
@@ -122,7 +122,7 @@
         for upstream in upstreams:
             yield from self.available_hosts(upstream)
 
-    def is_available(self, host: UpstreamHost, now_ms: float) -> bool:
+    def is_available(self, host: ReportedHost, now_ms: float) -> bool:
         """Return whether a host may get new calls.
 
         It must have reported recently, have slots, not be leaving and not be
