--- a/pollenwalk/process/program_owner.py
+++ b/pollenwalk/process/program_owner.py
@@ -15,9 +15,9 @@
     RefusalCode,
     fenced_error,
 )
-from pollenwalk.process.maintenance import ProgramMaintenance
 from pollenwalk.process.program_creator import ProgramCreator
 from pollenwalk.process.program_ids import unknown_program
+from pollenwalk.process.program_maintenance import ProgramMaintenance
 from pollenwalk.process.recorder import store_unavailable
 from pollenwalk.process.recovery import Recovery
 from pollenwalk.process.tasks import TaskSet
