--- a/pollenwalk/platform/objects.py
+++ b/pollenwalk/platform/objects.py
@@ -20,7 +20,7 @@
 OBJECTS = '/v1/objects/'
 # Covers three round trips between regions and the slowest answer that is still
 # useful.
-ANSWER_TIMEOUT_S = 2.0
+RESPONSE_TIMEOUT_S = 2.0
 MS_PER_SECOND = 1000
 # Statuses below 500 by which the store says that it can't answer now.
 UNAVAILABLE = frozenset(
@@ -88,7 +88,7 @@
         method: str,
         path: str,
         document: Any = None,
-        timeout_s: float = ANSWER_TIMEOUT_S,
+        timeout_s: float = RESPONSE_TIMEOUT_S,
     ) -> StoreAnswer:
         """Send a request to the store and read the whole answer.
 
@@ -215,7 +215,7 @@
         answer = await self.request(
             'GET',
             f'{kind}?watch={revision}&wait_ms={wait_ms}',
-            timeout_s=wait_ms / MS_PER_SECOND + ANSWER_TIMEOUT_S,
+            timeout_s=wait_ms / MS_PER_SECOND + RESPONSE_TIMEOUT_S,
         )
         try:
             page: WireEvents = EVENTS_DECODER.decode(answer['body'])
--- a/standin/platform/store.py
+++ b/standin/platform/store.py
@@ -12,13 +12,13 @@
 from starlette.routing import Route
 
 from pollenwalk.errors import StoreConflict, StoreUnavailable
-from pollenwalk.platform.objects import ANSWER_TIMEOUT_S
+from pollenwalk.platform.objects import RESPONSE_TIMEOUT_S
 from pollenwalk.process.store import ABSENT, Changes, StoredObject
 from standin.store import MemoryStore
 
 PAGE = 2
-# Longer than the client waits for an answer.
-SILENCE_S = ANSWER_TIMEOUT_S + 0.5
+# Longer than the client waits for a response.
+SILENCE_S = RESPONSE_TIMEOUT_S + 0.5
 MS_PER_SECOND = 1000
 
 
