--- a/pollenwalk/platform/headers.py
+++ b/pollenwalk/platform/headers.py
@@ -166,9 +166,9 @@
     return added
 
 
-def resume_header(last_event: str) -> tuple[bytes, bytes]:
-    """Return the header that asks for the events after `last_event`."""
-    return LAST_EVENT_ID, last_event.encode('latin-1')
+def resume_header(last_event_id: str) -> tuple[bytes, bytes]:
+    """Return the header that asks for the events after `last_event_id`."""
+    return LAST_EVENT_ID, last_event_id.encode('latin-1')
 
 
 def retry_header(retry_after_ms: float) -> tuple[bytes, bytes]:
