--- a/pollenwalk/process/call_placer.py
+++ b/pollenwalk/process/call_placer.py
@@ -97,8 +97,8 @@
             suspected=state.suspected_until_ms > now_ms,
         )
 
-    def record_rejection(self, state: HostState, _reason: str) -> None:
-        """Suspect a host that can't be reached or rejects calls.
+    def record_refusal(self, state: HostState, _reason: str) -> None:
+        """Suspect a host that can't be reached or refuses calls.
 
         The reason makes no difference.
         """
--- a/pollenwalk/request/call_sender.py
+++ b/pollenwalk/request/call_sender.py
@@ -282,7 +282,7 @@
         It is excluded until all hosts may be tried again.
         """
         self.tried_hosts.add(state.registration.id)
-        self.context.call_placer.record_rejection(state, reason)
+        self.context.call_placer.record_refusal(state, reason)
         self.context.metrics.count_send('not_run')
         logger.info(
             'not_run',
