--- a/pollenwalk/process/keeper_links.py
+++ b/pollenwalk/process/keeper_links.py
@@ -28,7 +28,7 @@
 
 
 class KeeperLink:
-    """The connection to one keeper.
+    """A connection to a keeper.
 
     Attributes:
         member: the keeper as the store lists it.
@@ -39,7 +39,7 @@
     """
 
     def __init__(self, member: Member, peer: Peer, distance: int) -> None:
-        """Create the link to a keeper that is not lost."""
+        """Create a connection to a keeper that is not lost."""
         self.member = member
         self.peer = peer
         self.distance = distance
@@ -47,11 +47,11 @@
 
 
 class KeeperLinks:
-    """The links to all keepers that the store lists.
+    """The connections to all keepers that the store lists.
 
     Attributes:
         members: the keepers in the store.
-        by_name: the links by the names of their keepers.
+        by_name: the connections, by the names of their keepers.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         zone: str,
         regions: dict[str, str],
     ) -> None:
-        """Create the links of a process in `zone`; no keeper is known yet."""
+        """Create the connections of a process in `zone`; no keeper is known yet."""
         self.network = network
         self.clock = clock
         self.tasks = tasks
@@ -72,7 +72,7 @@
         self.by_name: dict[str, KeeperLink] = {}
 
     def ordered(self) -> list[KeeperLink]:
-        """Return all links: answering keepers first, near ones before others."""
+        """Return all connections: answering keepers first, near ones before others."""
         links = [self.link(member) for member in self.members.by_name.values()]
         return sorted(
             links,
@@ -84,7 +84,7 @@
         )
 
     def link(self, member: Member) -> KeeperLink:
-        """Return the link to a keeper; a new one if its address has changed."""
+        """Return the connection to a keeper; a new one if its address has changed."""
         link = self.by_name.get(member.name)
         if link is None or link.member.address != member.address:
             peer = Peer(member.address, self.network, self.clock, self.tasks)
@@ -156,7 +156,7 @@
         self.tasks.spawn(self.probe(link), 'probe')
 
     async def probe(self, link: KeeperLink) -> None:
-        """Probe a lost keeper until it answers or its link is replaced.
+        """Probe a lost keeper until it answers or its connection is replaced.
 
         The probe is an empty message of settlements, which changes nothing.
         """
