--- a/pollenwalk/process/sidecar_calls.py
+++ b/pollenwalk/process/sidecar_calls.py
@@ -71,7 +71,7 @@
 
 
 class EpochFence:
-    """Rejects dispatches that arrive on stale connections.
+    """Refuses dispatches that arrive on stale connections.
 
     Each connection has an epoch, which grows with every connection that an
     incarnation of an entry opens to this sidecar.
@@ -96,7 +96,7 @@
         self.min_epochs[incarnation] = max(known, epoch)
 
     def seal(self, incarnation: str) -> None:
-        """Reject all further dispatches of a sealed incarnation."""
+        """Refuse all further dispatches of a sealed incarnation."""
         self.min_epochs[incarnation] = SEALED_EPOCH
 
     def check(self, incarnation: str, epoch: int) -> None:
--- a/pollenwalk/process/sidecar_service.py
+++ b/pollenwalk/process/sidecar_service.py
@@ -134,7 +134,7 @@
         """Report the state of a call: 'done', 'running' or 'not_run'.
 
         A call that waits for a slot counts as 'running'. If the request names a
-        sealed incarnation, later dispatches of that incarnation are rejected, so
+        sealed incarnation, later dispatches of that incarnation are refused, so
         that 'not_run' stays true.
         """
         self.check_boot_id(message.boot_id, Outcome.UNKNOWN)
--- a/pollenwalk/version/routes.py
+++ b/pollenwalk/version/routes.py
@@ -5,7 +5,10 @@
 
 
 class CallKind(enum.StrEnum):
-    """How the calls of a route are answered and whether they may be repeated."""
+    """How the calls of a route are answered and whether they are idempotent.
+
+    A stream is idempotent only if its route is resumable.
+    """
 
     SAFE = 'safe'
     UNSAFE = 'unsafe'
@@ -31,7 +34,7 @@
         name: name of the route.
         host: the host name that callers use, in lower case.
         path_prefix: beginning of the paths; it begins and ends with a slash.
-        kind: how calls are answered and whether they may be repeated.
+        kind: how calls are answered and whether they are idempotent.
         timeout_ms: the longest time that a caller waits.
         target_ms: latency target; an answer that takes longer is worth less to the
             caller.
