--- a/pollenwalk/connection/grpc_network.py
+++ b/pollenwalk/connection/grpc_network.py
@@ -1,7 +1,7 @@
 """Channels over gRPC streams and datagrams over UDP.
 
-Frames are opaque bytes to gRPC, as the codec is in the module `wire`. So the
-gRPC service needs no generated code.
+gRPC carries the frames as opaque bytes, which the module `wire` encodes and
+decodes. The gRPC service therefore needs no generated code.
 """
 
 import asyncio
@@ -23,6 +23,8 @@
 METHOD = 'Exchange'
 MAX_FRAME_MIB = 32
 MAX_FRAME_BYTES = MAX_FRAME_MIB * 1024 * 1024
+# Interval of keep-alive pings, and time after which a connection is closed if a
+# ping is not acknowledged.
 KEEPALIVE_MS = 5000
 CHANNEL_OPTIONS = (
     ('grpc.max_send_message_length', MAX_FRAME_BYTES),
@@ -38,6 +40,7 @@
     ('grpc.http2.max_ping_strikes', 0),
     ('grpc.http2.min_recv_ping_interval_without_data_ms', KEEPALIVE_MS // 2),
 )
+# Time that open streams get to finish after a listener is closed.
 STOP_GRACE_S = 0.2
 
 
@@ -192,16 +195,16 @@
             context: grpc.aio.ServicerContext,
         ) -> None:
             channel = ServerChannel(requests, context)
-            serving = asyncio.ensure_future(handler(channel))
-            closing = asyncio.ensure_future(channel.closed.wait())
+            handler_task = asyncio.ensure_future(handler(channel))
+            closed_task = asyncio.ensure_future(channel.closed.wait())
             try:
                 await asyncio.wait(
-                    (serving, closing),
+                    (handler_task, closed_task),
                     return_when=asyncio.FIRST_COMPLETED,
                 )
             finally:
-                closing.cancel()
-                serving.cancel()
+                closed_task.cancel()
+                handler_task.cancel()
 
         server = grpc.aio.server(options=CHANNEL_OPTIONS)
         method = grpc.stream_stream_rpc_method_handler(exchange)
