--- a/pollenwalk/commands/resources.py
+++ b/pollenwalk/commands/resources.py
@@ -83,7 +83,9 @@
     add_store_options(delete)
     delete.add_argument('name', metavar='Kind/name')
     delete.set_defaults(run=run_delete)
-    watch = subparsers.add_parser('watch', help='print each new acceptance status')
+    watch = subparsers.add_parser(
+        'watch', help='print acceptance statuses, the stored ones first'
+    )
     add_store_options(watch)
     watch.set_defaults(run=run_watch)
     settings = subparsers.add_parser('settings', help='print the default settings')
