--- a/pollenwalk/process/entry_service.py
+++ b/pollenwalk/process/entry_service.py
@@ -72,7 +72,11 @@
             raise OwnerUnreachable() from error
 
     async def answer(self, message: Any) -> Any:
-        """Answer a request that has a single answer."""
+        """Answer a request that has a single answer.
+
+        Raises:
+            Refusal: the request failed, or its message is not expected here.
+        """
         if isinstance(message, WitnessAppend):
             return self.entry.witness_log.append(message)
         if isinstance(message, WitnessSeal):
@@ -116,7 +120,12 @@
             raise OwnerUnreachable()
 
     async def claim(self, message: ClaimKey) -> Claim:
-        """Claim an idempotency key for a program, or look up its program."""
+        """Claim an idempotency key for a program, or look up its program.
+
+        Raises:
+            Refusal: the claim can't be made durable now.
+            OwnerUnreachable: a successor has sealed the journal here.
+        """
         try:
             if message.program:
                 return Claim(await self.entry.routing.claim_here(message))
--- a/pollenwalk/process/maintenance.py
+++ b/pollenwalk/process/maintenance.py
@@ -65,7 +65,10 @@
         return True
 
     async def renew(self) -> None:
-        """Renew the leases on engine memory, with one message to each sidecar."""
+        """Renew the leases on engine memory every `RENEW_INTERVAL_MS`.
+
+        Each sidecar gets one message for all its programs.
+        """
         while True:
             for address, programs in self.programs_by_sidecar().items():
                 self.owner.tasks.spawn(self.renew_at(address, programs), 'renew_at')
