--- a/pollenwalk/process/entry.py
+++ b/pollenwalk/process/entry.py
@@ -30,7 +30,7 @@
 from pollenwalk.process.entry_monitor import EntryMonitor
 from pollenwalk.process.entry_service import EntryService
 from pollenwalk.process.fleet import Fleet, Location
-from pollenwalk.process.host_list import HostList, follow_hosts
+from pollenwalk.process.host_list import HostList, poll_host_list
 from pollenwalk.process.journal import Journal
 from pollenwalk.process.liveness import CHECK_INTERVAL_MS, OBSERVERS, Liveness
 from pollenwalk.process.peers import Peers
@@ -212,7 +212,7 @@
         self.tasks.spawn(self.entry_monitor.watch_entries(), 'liveness')
         self.tasks.spawn(self.register(), 'register')
         if self.hosts is not None:
-            following = follow_hosts(self.hosts, self.fleet, self.clock)
+            following = poll_host_list(self.hosts, self.fleet, self.clock)
             self.tasks.spawn(following, 'hosts')
 
     async def serve(self, channel: Any) -> None:
--- a/pollenwalk/process/joining.py
+++ b/pollenwalk/process/joining.py
@@ -1,8 +1,9 @@
-"""How a keeper with an empty disk becomes one that can answer for the past.
+"""Joining: a keeper with an empty disk fetches the records of the others.
 
-A turn is on one disk more than may be lost, so what all other keepers but
-the lost ones hold is everything. Until it has that, the keeper stores new
-records but doesn't say that something does not exist.
+Every turn is on one disk more than may be lost at the same time. The keeper
+therefore has all records once it has fetched those of all other keepers except
+as many as may be lost. Until then it stores new records, but does not report
+that a record does not exist.
 """
 
 from collections.abc import AsyncIterator
@@ -15,61 +16,64 @@
 from pollenwalk.process.keeper_members import Member
 from pollenwalk.program.turns import PullRecords, RecordBatch
 
-# The next batch of a keeper that is fetched from must come within this; a
-# batch takes a fifth of a second on the narrowest link between regions.
+# Timeout for each batch of records. A batch takes 200 ms on the slowest link
+# between regions.
 BATCH_TIMEOUT_MS = 1500.0
-FETCH_AGAIN_MS = 200.0
-# A keeper that could not be reached for so long while another one joined is
-# replaced by it.
-REPLACED_AFTER_MS = 3000.0
+FETCH_INTERVAL_MS = 200.0
+# A joining keeper replaces one that it has not reached within this time.
+REPLACE_AFTER_MS = 3000.0
 
 
 class Joining:
-    """Fetches what a keeper lacks."""
+    """Fetches the missing records of a keeper from the other keepers.
+
+    Attributes:
+        fetched: names of the complete keepers whose records have been fetched.
+    """
 
     def __init__(self, keeper: Keeper) -> None:
-        """Prepare; nothing is fetched yet."""
+        """Create the joining of `keeper`; nothing has been fetched yet."""
         self.keeper = keeper
         self.fetched: set[str] = set()
 
     async def run(self) -> None:
-        """Fetch everything, then take the place of a keeper that is gone."""
+        """Fetch all records, then replace a keeper that can't be reached."""
         keeper = self.keeper
-        begun_ms = keeper.clock.now_ms()
-        while not self.has_enough():
-            await self.fetch_all()
-            await keeper.clock.sleep_ms(FETCH_AGAIN_MS)
+        started_ms = keeper.clock.now_ms()
+        while not self.has_all_records():
+            await self.fetch_remaining()
+            await keeper.clock.sleep_ms(FETCH_INTERVAL_MS)
         keeper.state.log.mark_complete()
         logger.info('joined', fetched=sorted(self.fetched))
         await keeper.clock.sleep_ms(
-            begun_ms + REPLACED_AFTER_MS - keeper.clock.now_ms(),
+            started_ms + REPLACE_AFTER_MS - keeper.clock.now_ms(),
         )
         await self.replace_lost()
 
-    def has_enough(self) -> bool:
-        """Tell whether every record that counts has been fetched.
+    def has_all_records(self) -> bool:
+        """Return whether enough keepers' records have been fetched.
 
-        This keeper's own former disk is one of the lost ones where it was a
-        member before.
+        If this keeper was listed before, its own former disk counts as one of
+        the lost ones.
         """
         keeper = self.keeper
         if not keeper.links.members.loaded:
             return False
         count = len(keeper.other_members()) + int(keeper.was_member)
-        needed = max(count - keeper.settings.tolerated_losses, 1)
-        return len(self.fetched) >= needed
+        required = max(count - keeper.settings.tolerated_losses, 1)
+        return len(self.fetched) >= required
 
-    async def fetch_all(self) -> None:
-        """Fetch from every keeper that has not given all yet."""
+    async def fetch_remaining(self) -> None:
+        """Fetch from every keeper whose records have not all been fetched."""
         for member in self.keeper.other_members():
             if member.name not in self.fetched and await self.fetch(member):
                 self.fetched.add(member.name)
 
     async def fetch(self, member: Member) -> bool:
-        """Fetch what one keeper holds of scarce records.
+        """Fetch one keeper's accounts and the turns that have too few copies.
 
         Returns:
-            Whether it gave everything and is complete itself.
+            Whether everything was fetched and the other keeper is complete.
         """
         keeper = self.keeper
         peer = Peer(member.address, keeper.network, keeper.clock, keeper.tasks)
@@ -88,12 +92,12 @@
         return complete
 
     async def batches(self, peer: Peer) -> AsyncIterator[RecordBatch]:
-        """Give what a keeper sends.
+        """Yield the batches of records that a keeper sends.
 
         Raises:
-            TimeoutError: the next batch did not come in time.
+            TimeoutError: the next batch did not arrive within the timeout.
         """
-        stream = peer.stream(PullRecords(self.lost()))
+        stream = peer.stream(PullRecords(self.lost_keepers()))
         while True:
             async with self.keeper.clock.timeout_ms(BATCH_TIMEOUT_MS):
                 batch = await anext(stream, None)
@@ -101,16 +105,19 @@
                 return
             yield batch
 
-    def lost(self) -> list[str]:
-        """Name the keepers whose copies may be gone, this one included."""
-        reached = self.fetched
+    def lost_keepers(self) -> list[str]:
+        """Return the names of the keepers whose copies may be lost.
+
+        They are the keepers that nothing was fetched from, and this one.
+        """
+        fetched = self.fetched
         names = [
-            one.name for one in self.keeper.other_members() if one.name not in reached
+            one.name for one in self.keeper.other_members() if one.name not in fetched
         ]
         return [*names, self.keeper.settings.name]
 
     async def replace_lost(self) -> None:
-        """Take the place of one keeper that has been gone all the while."""
+        """Remove one keeper that still can't be fetched from, if there is one."""
         for member in self.keeper.other_members():
             if member.name in self.fetched or await self.fetch(member):
                 continue
