--- a/pollenwalk/process/entry_service.py
+++ b/pollenwalk/process/entry_service.py
@@ -73,7 +73,11 @@
             raise OwnerUnreachable() from error
 
     async def answer(self, message: Any) -> Any:
-        """Answer a request that has a single answer."""
+        """Answer a request that has a single answer.
+
+        Raises:
+            Refusal: the request failed, or its message is not expected here.
+        """
         if isinstance(message, WitnessAppend):
             return self.entry.witness_log.append(message)
         if isinstance(message, WitnessSeal):
