--- a/pollenwalk/connection/connection_pool.py
+++ b/pollenwalk/connection/connection_pool.py
@@ -13,7 +13,7 @@
 # connection is therefore discarded this long before the keep-alive timeout that
 # the host announces.
 CLOSE_MARGIN_MS = 1000.0
-# Keep-alive time for hosts that announce no timeout.
+# Maximum idle time of connections to hosts that announce no timeout.
 DEFAULT_KEEP_ALIVE_MS = 4000.0
 
 
--- a/pollenwalk/connection/gateway_app.py
+++ b/pollenwalk/connection/gateway_app.py
@@ -29,7 +29,7 @@
     RefusalCode.UNKNOWN_TURN: HTTPStatus.NOT_FOUND,
     RefusalCode.BUDGET_EXHAUSTED: HTTPStatus.PAYMENT_REQUIRED,
 }
-# Statuses of all other refusals.
+# Statuses of other refusals by outcome; `status_of` treats deadlines separately.
 STATUSES_BY_OUTCOME = {
     Outcome.NOT_RUN: HTTPStatus.SERVICE_UNAVAILABLE,
     Outcome.RAN: HTTPStatus.BAD_GATEWAY,
--- a/pollenwalk/connection/http_api.py
+++ b/pollenwalk/connection/http_api.py
@@ -163,7 +163,7 @@
 
 
 def check_deadline(deadline_ms: int) -> float:
-    """Return a call's deadline, in ms from now, if it is within bounds.
+    """Check a call's deadline, in ms from now, and return it as a float.
 
     Raises:
         Refusal: the deadline is out of bounds.
--- a/pollenwalk/connection/keepalive.py
+++ b/pollenwalk/connection/keepalive.py
@@ -14,7 +14,7 @@
 
 
 def enable_keepalive(sock: socket.socket) -> None:
-    """Make the kernel probe an idle peer and close the connection if it is silent.
+    """Make the kernel probe idle peers and close connections that are dead.
 
     Also disables Nagle's algorithm.
     """
--- a/pollenwalk/connection/sidecar_api.py
+++ b/pollenwalk/connection/sidecar_api.py
@@ -20,7 +20,7 @@
         self.registry = Registry()
         self.running = self.gauge('running_calls', 'Calls at the upstream.')
         self.waiting = self.gauge('waiting_calls', 'Calls in the queue.')
-        self.kept = self.gauge('kept_calls', 'Calls whose result is kept.')
+        self.kept_calls = self.gauge('kept_calls', 'Calls whose result is kept.')
         self.leases = self.gauge('memory_leases', 'Leases on engine memory.')
 
     def gauge(self, name: str, text: str) -> Gauge:
@@ -52,7 +52,7 @@
         leases = self.sidecar.executor.leases
         self.running.set({}, self.sidecar.executor.slot_queue.running)
         self.waiting.set({}, len(self.sidecar.executor.slot_queue.waiting))
-        self.kept.set({}, len(self.sidecar.executor.calls.by_id))
+        self.kept_calls.set({}, len(self.sidecar.executor.calls.by_id))
         self.leases.set({}, len(leases.expires_ms) if leases else 0)
         body, headers = render(self.registry, ['text/plain'])
         return Response(body, media_type=headers['Content-Type'])
--- a/pollenwalk/connection/store_http.py
+++ b/pollenwalk/connection/store_http.py
@@ -20,6 +20,7 @@
 from pollenwalk.errors import StoreConflict, StoreUnavailable
 from pollenwalk.process.store import ABSENT, WATCH_TIMEOUT_MS, Changes, StoredObject
 
+# Limit on a request other than a watch.
 ANSWER_TIMEOUT_S = 2
 WATCH_TIMEOUT_S = 15
 
--- a/pollenwalk/connection/upstream_connection.py
+++ b/pollenwalk/connection/upstream_connection.py
@@ -21,7 +21,7 @@
 
 # Number of unread bytes above which reading from the host is paused.
 HIGH_WATER_BYTES = 262_144
-# Number of answers that are read in search of the one to the request.
+# Number of answers that are read to find the one to the request.
 MAX_ANSWERS = 3
 
 
@@ -34,7 +34,7 @@
         changed: set when bytes arrive and when the connection ends.
         writable: cleared while the transport's write buffer is full.
         in_use: whether a request is in progress.
-        ended: whether the host has closed its side in order.
+        ended: whether the host has closed its side of the connection.
         reset: whether the connection ended without an orderly close by the host.
         reusable: whether the connection can carry another request.
         idle_since_ms: time at which the pool got the connection back.
@@ -136,7 +136,8 @@
         """Wait for the next event of the answer and return it.
 
         Raises:
-            BrokenAnswer: the connection was reset or the data is not valid HTTP.
+            BrokenAnswer: the connection was reset, or the answer is incomplete or
+                not valid HTTP.
         """
         while True:
             event = self.parse()
@@ -148,18 +149,21 @@
         """Return the parser's next event, which is NEED_DATA if there is none.
 
         Raises:
-            BrokenAnswer: the received data is not valid HTTP.
+            BrokenAnswer: the answer is incomplete or not valid HTTP.
         """
         try:
             return self.parser.next_event()
         except h11.RemoteProtocolError as error:
-            raise BrokenAnswer(f'invalid HTTP response: {error}') from error
+            raise BrokenAnswer(
+                f'incomplete or invalid HTTP response: {error}'
+            ) from error
 
     async def feed_parser(self) -> None:
         """Wait for bytes or the orderly end and pass them to the parser.
 
         Raises:
-            BrokenAnswer: the connection was reset or the data is not valid HTTP.
+            BrokenAnswer: the connection was reset, or the answer is incomplete or
+                not valid HTTP.
         """
         while not self.received:
             if self.ended:
@@ -175,7 +179,9 @@
         try:
             self.parser.receive_data(chunk)
         except h11.RemoteProtocolError as error:
-            raise BrokenAnswer(f'invalid HTTP response: {error}') from error
+            raise BrokenAnswer(
+                f'incomplete or invalid HTTP response: {error}'
+            ) from error
 
     async def read_head(self, request: str) -> AnswerHead:
         """Wait for the head of the answer to a request; skip other answers.
@@ -189,9 +195,9 @@
                 answers was to this request.
         """
         for _ in range(MAX_ANSWERS):
-            found = await self.read_any_head()
-            if not found.request or found.request == request:
-                return found
+            head = await self.read_any_head()
+            if not head.request or head.request == request:
+                return head
             self.reusable = False
             await self.read_body()
             self.expect_another_answer()
@@ -208,12 +214,10 @@
             event = await self.next_event()
         if not isinstance(event, h11.Response):
             raise BrokenAnswer('the connection ended without an answer')
-        found = platform_headers.read_answer_head(
-            event.status_code, list(event.headers)
-        )
-        if found.keep_alive_ms is not None:
-            self.keep_alive_ms = found.keep_alive_ms
-        return found
+        head = platform_headers.read_answer_head(event.status_code, list(event.headers))
+        if head.keep_alive_ms is not None:
+            self.keep_alive_ms = head.keep_alive_ms
+        return head
 
     async def read_body(self) -> bytes:
         """Read the body of the current answer.
--- a/pollenwalk/connection/wire.py
+++ b/pollenwalk/connection/wire.py
@@ -130,7 +130,10 @@
 
 
 class NeedHistory(NamedTuple):
-    """Answer to `Dispatch`: the sidecar does not have the history `base`."""
+    """Answer to `Dispatch`: the sidecar does not have the history `base`.
+
+    The entry then sends the call again with the whole history.
+    """
 
     program: str
 
--- a/test/connection/test_contracts.py
+++ b/test/connection/test_contracts.py
@@ -285,14 +285,14 @@
             await server.stop()
 
     @on_loop
-    async def test_nobody_listens(self) -> None:
+    async def test_nothing_listens(self) -> None:
         service = HttpService(f'http://127.0.0.1:{free_port()}')
         try:
             await service.invoke('c1', 'order', {})
         except Refusal as refusal:
             self.assertEqual('not_run', refusal.outcome)
         else:
-            self.fail('nobody listens')
+            self.fail('the call was answered without a service')
         await service.close()
 
 
