--- a/pollenwalk/program/ledger.py
+++ b/pollenwalk/program/ledger.py
@@ -2,7 +2,8 @@
 
 Before a turn runs, it reserves the largest number of tokens that it may
 generate. Every keeper counts this reservation until the turn is settled with
-the number of tokens that it generated. A gateway merges the accounts of a
+the tokens of the events that were sent to the caller. Tokens that were
+generated but not sent are not counted. A gateway merges the accounts of a
 majority of the keepers. Any two majorities have a keeper in common, so of any
 two turns at least one sees the other.
 """
@@ -73,7 +74,7 @@
         return list(account.entries.values())
 
     def settle(self, request: SettleTokens) -> None:
-        """Replace a turn's reservation by the tokens that it generated."""
+        """Replace a turn's reservation by the tokens sent to its caller."""
         account = self.touch_account(request.program, request.retention_ms)
         account.entries[request.turn] = TokenEntry(request.turn, request.tokens, True)
 
--- a/pollenwalk/program/turns.py
+++ b/pollenwalk/program/turns.py
@@ -17,7 +17,7 @@
             of a chain.
         input: the input that this turn added to the prompt.
         output: the data of the answer's events, each followed by a line feed.
-        tokens: number of generated tokens.
+        tokens: number of tokens that these events count for.
         retention_ms: how long the record is kept after its last use.
         replicas: names of the keepers that were asked to keep a copy.
     """
@@ -50,7 +50,7 @@
 
 
 class SettleTokens(NamedTuple):
-    """Replaces a turn's reservation by the number of generated tokens.
+    """Replaces a turn's reservation by the number of tokens sent to its caller.
 
     `retention_ms` is how long the account is kept after its last use.
     """
